--- a/hillthread/coordination/gateway/serving/limit_keeper.py
+++ b/hillthread/coordination/gateway/serving/limit_keeper.py
@@ -147,6 +147,8 @@
                 "limit_per_s": per_s,
                 "source": source,
                 "hosts": self.site.hosts,
-                "part": round(self.quotas.ledger.part(clock.now()), 3),
+                "part": round(
+                    self.quotas.ledger.reachable_share(clock.now()), 3
+                ),
             },
         )
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -100,7 +100,7 @@
         self._adopt()
         now = clock.now()
         name = request.tenant_name
-        window, amount, left = self.ledger.standing(
+        window, amount, left = self.ledger.check_request(
             name, request.prompt.counted_tokens, now
         )
         if window is None:
@@ -120,7 +120,7 @@
         raise _refusal(
             f"{name} has used its quota of {quota.rate_per_s:.0f} "
             f"{quota.unit} a second over all hosts, and {-left:.0f} more; "
-            f"{window.part:.2f} of the hosts are in touch and share that part.",
+            f"{window.reachable_share:.2f} of the hosts are in touch and share that part.",
             "Try again after the time in Retry-After, or send less.",
             after_s,
         )
@@ -139,7 +139,7 @@
         give_up_at = clock.now() + _LONGEST_WAIT_S
         while (now := clock.now()) < min(until, give_up_at):
             self._adopt()
-            window, _, left = self.ledger.standing(
+            window, _, left = self.ledger.check_request(
                 request.tenant_name, request.prompt.counted_tokens, now
             )
             if window is None or left > 0.0:
@@ -161,7 +161,7 @@
     def _charge(self, request: intake.GatewayRequest, sends: float) -> None:
         now = clock.now()
         name = request.tenant_name
-        amount = self.ledger.standing(
+        amount = self.ledger.check_request(
             name, request.prompt.counted_tokens, now
         ).amount
         if self.ledger.charge(name, amount * sends, now):
@@ -174,7 +174,7 @@
     def statuses(self) -> list[QuotaStatus]:
         """Returns how all organisations with a quota stand, by name."""
         self._adopt()
-        self.ledger.look(clock.now())
+        self.ledger.refresh(clock.now())
         return [
             QuotaStatus(
                 name,
@@ -183,8 +183,8 @@
                 window.quota.unit,
                 int(window.used),
                 int(window.limit),
-                int(window.left()),
-                round(window.part, 3),
+                int(window.remaining()),
+                round(window.reachable_share, 3),
                 window.refused,
             )
             for name, window in sorted(self.ledger.windows.items())
@@ -204,7 +204,7 @@
 
     def _is_idle(self) -> bool:
         """Returns whether nothing is counted over all hosts."""
-        return not self.ledger.by_key or self.work.is_alone()
+        return not self.ledger.windows_by_key or self.work.is_alone()
 
     def _beat_s(self) -> float:
         """Returns after how long others are told that this host is there."""
@@ -213,11 +213,11 @@
         return usage_exchange.HAND_OVER_S
 
     def _take(self, added: dict[int, float]) -> None:
-        self.ledger.take(added, clock.now())
+        self.ledger.add_peer_usage(added, clock.now())
 
     def _adopt(self) -> None:
         """Puts the quotas of the configuration in force."""
-        self.ledger.hosts = self.site.hosts
+        self.ledger.host_count = self.site.hosts
         table = self.site.table
         if table is None or table.position == self._version:
             return
@@ -227,7 +227,7 @@
             for name, tenant in table.tenants.items()
             if tenant.quota is not None
         }
-        self.ledger.adopt(quotas, clock.now())
+        self.ledger.set_quotas(quotas, clock.now())
 
     def _note_spent(
         self, tenant: str, window: quota_lib.QuotaWindow, left: float
@@ -247,7 +247,7 @@
                 "rate_per_s": window.quota.rate_per_s,
                 "unit": window.quota.unit,
                 "used": int(window.used),
-                "part": round(window.part, 3),
+                "part": round(window.reachable_share, 3),
                 "hosts": self.site.hosts,
                 "refused": window.refused,
             },
--- a/hillthread/state/quotas/quota.py
+++ b/hillthread/state/quotas/quota.py
@@ -30,7 +30,7 @@
 
 from hillthread.state.config import objects
 
-__all__ = ["QuotaBounds", "QuotaWindow", "cost"]
+__all__ = ["QuotaBounds", "QuotaWindow", "request_cost"]
 
 # What was sent is kept by slots of this length: 80 in a window of 8 s.
 _SLOT_S = 0.1
@@ -52,11 +52,11 @@
     """
 
     window_s: float = 8.0
-    over: float = 0.0
-    slack: float = 0.0
+    overshoot_share: float = 0.0
+    overshoot_units: float = 0.0
 
 
-def cost(quota: objects.Quota, tokens: int | None) -> float:
+def request_cost(quota: objects.Quota, tokens: int | None) -> float:
     """Returns what a request takes out of its organisation's quota.
 
     Args:
@@ -88,10 +88,10 @@
     def __init__(self, quota: objects.Quota, bounds: QuotaBounds, now: float):
         self.quota = quota
         self.bounds = bounds
-        self.part = 0.0
+        self.reachable_share = 0.0
         self.used = 0.0
         self.refused = 0
-        self.recalls_until = float("-inf")
+        self.past_usage_until = float("-inf")
         self._balance = 0.0
         self._updated_at = now
         self._slots: collections.deque[tuple[int, float]] = collections.deque()
@@ -104,21 +104,24 @@
         return self.quota.rate_per_s * window_s + self.quota.burst
 
     @property
-    def earned_per_s(self) -> float:
+    def refill_per_s(self) -> float:
         """Units that the hosts in touch earn in a second."""
-        return self.limit / self.bounds.window_s * self.part
+        return self.limit / self.bounds.window_s * self.reachable_share
 
     @property
     def capacity(self) -> float:
         """Units that the hosts in touch may send at once."""
-        beyond = self.limit * self.bounds.over + self.bounds.slack
+        beyond = (
+            self.limit * self.bounds.overshoot_share
+            + self.bounds.overshoot_units
+        )
         least = self.limit / self.bounds.window_s * _LEAST_BURST_S
-        return max(beyond * _BURST_SHARE, least) * self.part
+        return max(beyond * _BURST_SHARE, least) * self.reachable_share
 
-    def look(self, now: float, part: float) -> None:
+    def refresh(self, now: float, reachable_share: float) -> None:
         """Brings it up to date: so much of all hosts is in touch."""
-        self.part = part
-        earned = (now - self._updated_at) * self.earned_per_s
+        self.reachable_share = reachable_share
+        earned = (now - self._updated_at) * self.refill_per_s
         self._updated_at = now
         self._balance = min(self.capacity, self._balance + max(0.0, earned))
         last = int((now - self.bounds.window_s) / _SLOT_S)
@@ -127,13 +130,13 @@
         if not self._slots:
             self.used = 0.0  # sums of what came and went are not exact
 
-    def left(self) -> float:
+    def remaining(self) -> float:
         """Returns what may still be sent; below 0 when it is too much."""
         return min(self._balance, self.limit - self.used)
 
     def is_low(self) -> bool:
         """Returns whether less than half of its capacity is left."""
-        return self.left() < self.capacity / 2
+        return self.remaining() < self.capacity / 2
 
     def spend(self, amount: float, now: float) -> None:
         """Counts what was sent, here or elsewhere; negative gives back.
@@ -142,21 +145,21 @@
         send nothing is left that could count.
         """
         balance = min(self.capacity, self._balance - amount)
-        self._balance = max(-self.limit * self.part, balance)
+        self._balance = max(-self.limit * self.reachable_share, balance)
         self.used += amount
         number = int(now / _SLOT_S)
         if self._slots and self._slots[-1][0] == number:
             amount += self._slots.pop()[1]
         self._slots.append((number, amount))
 
-    def take(self, amount: float, now: float) -> None:
+    def add_peer_usage(self, amount: float, now: float) -> None:
         """Counts what others tell that they have sent."""
-        if now < self.recalls_until:
-            self.remember(amount, now)
+        if now < self.past_usage_until:
+            self.add_past_usage(amount, now)
         else:
             self.spend(amount, now)
 
-    def remember(self, amount: float, now: float) -> None:
+    def add_past_usage(self, amount: float, now: float) -> None:
         """Counts what was sent during the last window, before this was kept.
 
         When is not known: it counts as sent evenly. The pace owes none of it.
@@ -170,7 +173,7 @@
         self._slots = collections.deque(sorted(slots.items()))
         self.used += amount
 
-    def adopt(self, quota: objects.Quota) -> None:
+    def set_quota(self, quota: objects.Quota) -> None:
         """Takes over a changed quota; the change itself earns nothing.
 
         With a lower one the same share of it is used as before: what was sent
@@ -199,7 +202,7 @@
             hosts: Hosts that refuse as much as this one.
         """
         self.refused += 1
-        free_at = now + max(0.0, -self.left()) / self.earned_per_s
+        free_at = now + max(0.0, -self.remaining()) / self.refill_per_s
         last_at = now + self.bounds.window_s
         returns_at = min(max(free_at, self._returns_until), last_at)
         own_per_s = self.limit / self.bounds.window_s / hosts
--- a/hillthread/state/quotas/quota_ledger.py
+++ b/hillthread/state/quotas/quota_ledger.py
@@ -14,7 +14,7 @@
 from hillthread.state.quotas import quota as quota_lib
 from hillthread.state.quotas import usage_exchange
 
-__all__ = ["QuotaLedger", "Standing"]
+__all__ = ["QuotaLedger", "QuotaCheck"]
 
 # All untold use together, as a part of what may be sent at once, while an
 # organisation is far from its quota.
@@ -24,7 +24,7 @@
 _LOW_URGENCY = 1_000.0
 
 
-class Standing(NamedTuple):
+class QuotaCheck(NamedTuple):
     """How an organisation stands when it sends a request.
 
     Attributes:
@@ -35,7 +35,7 @@
 
     window: quota_lib.QuotaWindow | None
     amount: float = 0.0
-    left: float = 0.0
+    remaining: float = 0.0
 
 
 class QuotaLedger:
@@ -56,44 +56,48 @@
         )
         self.windows: dict[str, quota_lib.QuotaWindow] = {}
         self.bounds = bounds
-        self.hosts = 1
-        self.by_key: dict[int, quota_lib.QuotaWindow] = {}
+        self.host_count = 1
+        self.windows_by_key: dict[int, quota_lib.QuotaWindow] = {}
 
-    def adopt(self, quotas: Mapping[str, objects.Quota], now: float) -> None:
+    def set_quotas(
+        self, quotas: Mapping[str, objects.Quota], now: float
+    ) -> None:
         """Puts quotas in force, by organisation."""
-        part = self.part(now)
+        reachable_share = self.reachable_share(now)
         for name in self.windows:
-            self.by_key.pop(usage_exchange.name_key(name), None)
+            self.windows_by_key.pop(usage_exchange.name_key(name), None)
         windows = {}
         for name, quota in quotas.items():
             window = self.windows.get(name)
             if window is None:
                 window = quota_lib.QuotaWindow(quota, self.bounds, now)
-            window.look(now, part)
-            window.adopt(quota)
+            window.refresh(now, reachable_share)
+            window.set_quota(quota)
             windows[name] = window
         self.windows = windows
         for name, window in windows.items():
-            self.by_key[usage_exchange.name_key(name)] = window
+            self.windows_by_key[usage_exchange.name_key(name)] = window
 
-    def part(self, now: float) -> float:
+    def reachable_share(self, now: float) -> float:
         """Returns how many hosts are in touch with this one, of all."""
-        return min(1.0, self.exchange.hosts_heard(now) / self.hosts)
+        return min(1.0, self.exchange.hosts_heard(now) / self.host_count)
 
-    def look(self, now: float) -> None:
+    def refresh(self, now: float) -> None:
         """Brings all quotas up to date."""
-        part = self.part(now)
+        reachable_share = self.reachable_share(now)
         for window in self.windows.values():
-            window.look(now, part)
+            window.refresh(now, reachable_share)
 
-    def standing(self, name: str, tokens: int | None, now: float) -> Standing:
+    def check_request(
+        self, name: str, tokens: int | None, now: float
+    ) -> QuotaCheck:
         """Returns how an organisation stands that sends a request."""
         window = self.windows.get(name)
         if window is None:
-            return Standing(None)
-        window.look(now, self.part(now))
-        amount = quota_lib.cost(window.quota, tokens)
-        return Standing(window, amount, window.left())
+            return QuotaCheck(None)
+        window.refresh(now, self.reachable_share(now))
+        amount = quota_lib.request_cost(window.quota, tokens)
+        return QuotaCheck(window, amount, window.remaining())
 
     def charge(self, name: str, amount: float, now: float) -> bool:
         """Counts what is sent; negative gives back what has not run.
@@ -109,29 +113,29 @@
         Returns:
             Whether other hosts are to be told soon.
         """
-        window = self.by_key.get(key)
+        window = self.windows_by_key.get(key)
         if window is None:
             return False
-        window.look(now, self.part(now))
+        window.refresh(now, self.reachable_share(now))
         window.spend(amount, now)
-        return self.tell(key, amount, now)
+        return self.report_usage(key, amount, now)
 
-    def tell(self, key: int, amount: float, now: float) -> bool:
+    def report_usage(self, key: int, amount: float, now: float) -> bool:
         """Has other hosts told of what was sent; returns whether soon."""
         self.exchange.sent(key, amount)
-        return self.exchange.is_hand_over_due(now, self.hosts)
+        return self.exchange.is_hand_over_due(now, self.host_count)
 
-    def take(self, added: Mapping[int, float], now: float) -> None:
+    def add_peer_usage(self, added: Mapping[int, float], now: float) -> None:
         """Takes in what others have sent, by the key of the organisation."""
         for key, amount in added.items():
-            window = self.by_key.get(key)
+            window = self.windows_by_key.get(key)
             if window is not None and amount:
-                window.look(now, self.part(now))
-                window.take(amount, now)
+                window.refresh(now, self.reachable_share(now))
+                window.add_peer_usage(amount, now)
 
     def _urgency(self, key: int, amount: float, sharers: int) -> float:
         """Returns how urgent it is to tell of use; below 1 it is not due."""
-        window = self.by_key.get(key)
+        window = self.windows_by_key.get(key)
         if window is None:
             return 1.0
         untold = amount * sharers / (window.capacity * _UNTOLD_SHARE)
--- a/hillthread/state/quotas/target_limits.py
+++ b/hillthread/state/quotas/target_limits.py
@@ -32,7 +32,9 @@
 # The platform judges a limit over any window of this length, and tolerates half
 # as much again and some requests more.
 _WINDOW_S = 4.0
-_BOUNDS = quota_lib.QuotaBounds(_WINDOW_S, over=0.5, slack=5.0)
+_BOUNDS = quota_lib.QuotaBounds(
+    _WINDOW_S, overshoot_share=0.5, overshoot_units=5.0
+)
 # Fleet-wide probe rate of a target whose limit is lower, or zero.
 _MIN_PROBES_PER_S = 0.25
 # Until all hosts know of a request, also when a packet is lost.
@@ -86,7 +88,7 @@
         self.key = key
         self.per_s = per_s
         self.window = quota_lib.QuotaWindow(_quota(per_s), _BOUNDS, now)
-        self.window.recalls_until = now + _RECALL_S
+        self.window.past_usage_until = now + _RECALL_S
         self.notified_at = now
         self.passed_over = 0
         self._demand_per_s = _INITIAL_DEMAND_PER_S / hosts
@@ -95,7 +97,7 @@
     def change(self, per_s: float) -> None:
         """Replaces the limit without refilling the window."""
         self.per_s = per_s
-        self.window.adopt(_quota(per_s))
+        self.window.set_quota(_quota(per_s))
 
     def count_demand(self, now: float) -> float:
         """Counts a request for the target; returns the rate before it.
@@ -179,25 +181,25 @@
             return True
         if limited.per_s == per_s:
             return False
-        limited.window.look(now, self.ledger.part(now))
+        limited.window.refresh(now, self.ledger.reachable_share(now))
         limited.change(per_s)
         return True
 
     def _add(self, target: str, per_s: float, now: float) -> None:
         key = usage_exchange.name_key(f"target {target}")
-        limited = _Limited(key, per_s, self.ledger.hosts, now)
-        limited.window.look(now, self.ledger.part(now))
+        limited = _Limited(key, per_s, self.ledger.host_count, now)
+        limited.window.refresh(now, self.ledger.reachable_share(now))
         self._limited[target] = limited
-        self.ledger.by_key[key] = limited.window
+        self.ledger.windows_by_key[key] = limited.window
         sent = len(self._recent_sends(target, now))
         if sent:
-            limited.window.remember(sent, now)
-            self.ledger.tell(key, sent, now)
+            limited.window.add_past_usage(sent, now)
+            self.ledger.report_usage(key, sent, now)
 
     def _remove(self, target: str) -> None:
         limited = self._limited.pop(target, None)
         if limited is not None:
-            self.ledger.by_key.pop(limited.key, None)
+            self.ledger.windows_by_key.pop(limited.key, None)
 
     # Requests.
 
@@ -206,7 +208,7 @@
         limited = self._limited.get(target)
         if limited is None:
             return True
-        demand_per_s = limited.count_demand(now) * (self.ledger.hosts - 1)
+        demand_per_s = limited.count_demand(now) * (self.ledger.host_count - 1)
         if not self._has_capacity(limited, now) or self._yields_to_peers(
             limited, demand_per_s
         ):
@@ -248,15 +250,16 @@
         """
         first = max(
             (self._limited[target] for target in targets),
-            key=lambda each: each.window.left() / each.window.earned_per_s,
+            key=lambda each: each.window.remaining() / each.window.refill_per_s,
         )
         return max(
-            _PROPAGATION_S, first.window.refuse(now, 1.0, self.ledger.hosts)
+            _PROPAGATION_S,
+            first.window.refuse(now, 1.0, self.ledger.host_count),
         )
 
     def _has_capacity(self, limited: _Limited, now: float) -> bool:
-        limited.window.look(now, self.ledger.part(now))
-        return limited.window.left() > 0.0
+        limited.window.refresh(now, self.ledger.reachable_share(now))
+        return limited.window.remaining() > 0.0
 
     def _yields_to_peers(self, limited: _Limited, demand_per_s: float) -> bool:
         """Returns whether a free slot is left to peers.
@@ -266,7 +269,9 @@
             demand_per_s: Requests of all peers for it.
         """
         window = limited.window
-        overshoot = window.limit * _BOUNDS.over + _BOUNDS.slack
+        overshoot = (
+            window.limit * _BOUNDS.overshoot_share + _BOUNDS.overshoot_units
+        )
         concurrent = demand_per_s * _PROPAGATION_S
         return concurrent * self.draw() > overshoot * _OVERSHOOT_SHARE
 
@@ -288,14 +293,14 @@
         statuses = []
         for target, limited in sorted(self._limited.items()):
             window = limited.window
-            window.look(now, self.ledger.part(now))
+            window.refresh(now, self.ledger.reachable_share(now))
             statuses.append(
                 LimitStatus(
                     target,
                     limited.per_s,
                     round(window.used, 1),
-                    round(window.left(), 1),
-                    round(window.part, 3),
+                    round(window.remaining(), 1),
+                    round(window.reachable_share, 3),
                     limited.passed_over,
                 )
             )
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -132,8 +132,8 @@
 
 
 def _hear_nothing_of_use():
-    quota_ledger.QuotaLedger.part = lambda self, now: 1.0
-    quota_ledger.QuotaLedger.take = lambda self, added, now: None
+    quota_ledger.QuotaLedger.reachable_share = lambda self, now: 1.0
+    quota_ledger.QuotaLedger.add_peer_usage = lambda self, added, now: None
 
 
 MUTANTS = {
--- a/tests/coordination/gateway/serving/test_quota.py
+++ b/tests/coordination/gateway/serving/test_quota.py
@@ -78,7 +78,9 @@
         await scene.until(lambda p=program: len(p.source.hosts) == count)
         ledger = program.quotas.ledger
         await scene.until(
-            lambda each=ledger: each.part(scene_lib.clock.now()) == 1.0
+            lambda each=ledger: (
+                each.reachable_share(scene_lib.clock.now()) == 1.0
+            )
         )
     return programs
 
--- a/tests/state/quotas/test_quota.py
+++ b/tests/state/quotas/test_quota.py
@@ -21,18 +21,18 @@
 def opened(quota=None, bounds=BOUNDS, at=100.0):
     """Returns a window that has stood for long, at a time."""
     window = quota_lib.QuotaWindow(quota or tokens(), bounds, 0.0)
-    window.look(at, 1.0)
+    window.refresh(at, 1.0)
     return window
 
 
 class CostTest(unittest.TestCase):
     def test_what_a_request_counts(self):
         requests = objects.Quota(rate_per_s=2.0)
-        self.assertEqual(quota_lib.cost(tokens(), 9_190), 9_190.0)
-        self.assertEqual(quota_lib.cost(tokens(), 0), 0.0)
-        self.assertEqual(quota_lib.cost(tokens(), None), 200.0)
-        self.assertEqual(quota_lib.cost(requests, 9_190), 1.0)
-        self.assertEqual(quota_lib.cost(requests, None), 1.0)
+        self.assertEqual(quota_lib.request_cost(tokens(), 9_190), 9_190.0)
+        self.assertEqual(quota_lib.request_cost(tokens(), 0), 0.0)
+        self.assertEqual(quota_lib.request_cost(tokens(), None), 200.0)
+        self.assertEqual(quota_lib.request_cost(requests, 9_190), 1.0)
+        self.assertEqual(quota_lib.request_cost(requests, None), 1.0)
 
 
 class QuotaWindowTest(unittest.TestCase):
@@ -40,8 +40,8 @@
         """Returns the most sent in 8 s when something is asked for so often."""
         sent, now = [], 100.0
         while now < 100.0 + length_s:
-            window.look(now, part)
-            if window.left() > 0.0:
+            window.refresh(now, part)
+            if window.remaining() > 0.0:
                 window.spend(size, now)
                 sent.append((now, size))
             now += ask_s
@@ -57,18 +57,20 @@
             self.assertGreaterEqual(most, 9_000.0 * 0.95)
 
     def test_bounds_at_half_and_at_twice(self):
-        for window_s, over, slack in (
+        for window_s, overshoot_share, overshoot_units in (
             (4.0, 0.05, 500.0),
             (16.0, 0.2, 2_000.0),
             (8.0, 0.0, 0.0),
         ):
-            bounds = quota_lib.QuotaBounds(window_s, over, slack)
+            bounds = quota_lib.QuotaBounds(
+                window_s, overshoot_share, overshoot_units
+            )
             window = opened(bounds=bounds)
             limit = 1_000.0 * window_s + 1_000.0
             sent, now = [], 100.0
             while now < 100.0 + 3 * window_s:
-                window.look(now, 1.0)
-                if window.left() > 0.0:
+                window.refresh(now, 1.0)
+                if window.remaining() > 0.0:
                     window.spend(10.0, now)
                     sent.append(now)
                 now += 0.005
@@ -86,8 +88,8 @@
         after = quota_lib.QuotaWindow(tokens(), BOUNDS, 104.0)
         now = 104.0
         while now < 108.0:
-            after.look(now, 1.0)
-            if after.left() > 0.0:
+            after.refresh(now, 1.0)
+            if after.remaining() > 0.0:
                 after.spend(10.0, now)
                 sent += 10.0
             now += 0.005
@@ -108,9 +110,9 @@
         for number in range(2_000):
             size = 800.0 if number % 10 == 0 else 10.0
             now += 0.05
-            window.look(now, 1.0)
+            window.refresh(now, 1.0)
             counts[size][1] += 1
-            if window.left() > 0.0:
+            if window.remaining() > 0.0:
                 window.spend(size, now)
                 counts[size][0] += 1
         shares = [sent / asked for sent, asked in counts.values()]
@@ -118,20 +120,20 @@
 
     def test_changes_earn_nothing(self):
         window = opened()
-        while window.left() > 0.0:
+        while window.remaining() > 0.0:
             window.spend(100.0, 100.0)
         used = window.used / window.limit
-        window.adopt(tokens(rate=100.0, burst=100.0))
-        self.assertLessEqual(window.left(), 0.0)
+        window.set_quota(tokens(rate=100.0, burst=100.0))
+        self.assertLessEqual(window.remaining(), 0.0)
         self.assertAlmostEqual(window.used / window.limit, used)
-        window.adopt(tokens())
-        self.assertLessEqual(window.left(), 0.0)
+        window.set_quota(tokens())
+        self.assertLessEqual(window.remaining(), 0.0)
 
     def test_refused_callers_return_one_after_the_other(self):
         window = opened()
-        while window.left() > 0.0:
+        while window.remaining() > 0.0:
             window.spend(100.0, 100.0)
-        window.look(100.0, 1.0)
+        window.refresh(100.0, 1.0)
         times = [window.refuse(100.0, 225.0, 1) for _ in range(50)]
         self.assertEqual(times, sorted(times))
         self.assertAlmostEqual(times[1] - times[0], 0.2)
@@ -140,16 +142,16 @@
     def test_standstill_earns_no_more_than_the_capacity(self):
         window = opened()
         window.spend(5_000.0, 100.0)
-        window.look(1_000.0, 1.0 / 90)
-        self.assertLessEqual(window.left(), window.capacity)
+        window.refresh(1_000.0, 1.0 / 90)
+        self.assertLessEqual(window.remaining(), window.capacity)
         self.assertLess(window.capacity, 20.0)
 
     def test_what_has_not_run_is_given_back(self):
         window = opened()
-        left = window.left()
+        remaining = window.remaining()
         window.spend(300.0, 100.0)
         window.spend(-300.0, 100.3)
-        self.assertEqual(window.left(), left)
+        self.assertEqual(window.remaining(), remaining)
         self.assertEqual(window.used, 0.0)
 
 
--- a/tests/state/quotas/test_quota_at_size.py
+++ b/tests/state/quotas/test_quota_at_size.py
@@ -33,7 +33,7 @@
 )
 LIMIT = RATE * WINDOW_S + RATE
 BOUNDS = quota.QuotaBounds(WINDOW_S, 0.1, 110_000.0)
-ALLOWED = LIMIT * (1.0 + BOUNDS.over) + BOUNDS.slack
+ALLOWED = LIMIT * (1.0 + BOUNDS.overshoot_share) + BOUNDS.overshoot_units
 USUAL = RATE / 1.8
 HOT_X = 7.5
 SIZES = (9_200, 860)
@@ -62,8 +62,8 @@
         """Starts its process anew."""
         self.lives += 1
         self.ledger = quota_ledger.QuotaLedger(self.name, self.lives, BOUNDS)
-        self.ledger.hosts = count
-        self.ledger.adopt({ORGANISATION: QUOTA}, now)
+        self.ledger.host_count = count
+        self.ledger.set_quotas({ORGANISATION: QUOTA}, now)
         self.is_telling = False
         self.is_gathering = False
         self.up = True
@@ -118,8 +118,8 @@
         size = SIZES[self.draw.random() >= LONG_SHARE]
         if not host.up:
             return
-        standing = host.ledger.standing(ORGANISATION, size, now)
-        if standing.left <= 0.0:
+        standing = host.ledger.check_request(ORGANISATION, size, now)
+        if standing.remaining <= 0.0:
             self.refused.append((now, size))
             return
         self.sent.append((now, size))
@@ -158,7 +158,7 @@
     def gather(self, now, host, notice):
         """Takes in what a host hands over."""
         added = host.ledger.exchange.gather(notice, now)
-        host.ledger.take(added, now)
+        host.ledger.add_peer_usage(added, now)
         self.gathered(now, host)
 
     def gathered(self, now, host):
@@ -194,7 +194,7 @@
     def take(self, now, host, notice):
         """Takes in what a data centre has sent."""
         added = host.ledger.exchange.take(notice, now)
-        host.ledger.take(added, now)
+        host.ledger.add_peer_usage(added, now)
 
     def carry(self, now, sender, receiver, action, notice):
         """Carries a packet, unless it is lost."""
--- a/tests/state/quotas/test_target_limits.py
+++ b/tests/state/quotas/test_target_limits.py
@@ -15,7 +15,7 @@
 def limits(hosts=1, draw=0.0):
     """Returns the limits of a host; a draw of 0 leaves nothing to others."""
     ledger = quota_ledger.QuotaLedger("h1", 1, BOUNDS)
-    ledger.hosts = hosts
+    ledger.host_count = hosts
     return target_limits.TargetLimits(ledger, lambda: draw)
 
 
@@ -56,7 +56,7 @@
     def test_what_others_sent_before_counts(self):
         known = limits(hosts=2)
         known.apply_answer(TARGET, 5.0, 11.0)
-        known.ledger.take({KEY: 50.0}, 11.2)
+        known.ledger.add_peer_usage({KEY: 50.0}, 11.2)
         self.assertTrue(known.is_exhausted(TARGET, 12.0))
         # A window later it is past; the pace owes none of it.
         self.assertFalse(known.is_exhausted(TARGET, 15.5))
@@ -131,7 +131,7 @@
         known.charge(TARGET, 0.0)
         known.forget(TARGET)
         self.assertEqual(len(known), 0)
-        self.assertEqual(known.ledger.by_key, {})
+        self.assertEqual(known.ledger.windows_by_key, {})
         known.apply_answer(TARGET, 1.0, 1.0)
         self.assertEqual(known.statuses(1.0)[0].used, 0.0)
 
