--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -165,10 +165,10 @@
         if entry is None or self.usage is None:
             return
         if entry.name == self.source.name:
-            self.usage.hand_over(self.usage.origin, now, self.site.hosts)
+            self.usage.report_to(self.usage.origin, now, self.site.hosts)
             self._gathered.set()
             return
-        if self.usage.is_hand_over_due(now, self.site.hosts):
+        if self.usage.is_report_due(now, self.site.hosts):
             self._send_to_gatherer([], entry, now)
 
     async def run(self, address: str) -> None:
@@ -289,7 +289,7 @@
         usage = []
         if self.usage is not None:
             key = usage_exchange.name_key(entry.name)
-            handed = self.usage.hand_over(key, now, self.site.hosts)
+            handed = self.usage.report_to(key, now, self.site.hosts)
             usage = [handed] if handed else []
         packet = work_notice.Packet(
             work_notice.PacketUse.GATHER, work, [], usage=usage
@@ -347,8 +347,8 @@
         if self.usage is None:
             return [], []
         sharers = self.source.count_data_centres()
-        told = self.usage.tell_group(clock.now(), sharers)
-        return [told] if told else [], self.usage.told_elsewhere()
+        told = self.usage.report_group(clock.now(), sharers)
+        return [told] if told else [], self.usage.pop_remote_notices()
 
     def _send(
         self,
@@ -410,7 +410,7 @@
         if self.usage is None or packet.use is work_notice.PacketUse.GATHER:
             return
         for group in packet.usage:
-            self.heard_of_usage(self.usage.take(group, now))
+            self.heard_of_usage(self.usage.apply_notice(group, now))
 
     def _gather_usage(self, packet: work_notice.Packet, now: float) -> None:
         """Takes in what a host of this data centre has sent."""
@@ -425,7 +425,7 @@
         if self.usage is None or not packet.usage:
             return
         for notice in packet.usage:
-            self.usage.keep_for_members(notice)
+            self.usage.queue_for_members(notice)
         self._gathered.set()
 
 
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -209,8 +209,8 @@
     def _beat_s(self) -> float:
         """Returns after how long others are told that this host is there."""
         if self.work.gatherer.is_self(clock.now()):
-            return usage_exchange.TELL_S
-        return usage_exchange.HAND_OVER_S
+            return usage_exchange.GROUP_REPORT_INTERVAL_S
+        return usage_exchange.HOST_REPORT_INTERVAL_S
 
     def _take(self, added: dict[int, float]) -> None:
         self.ledger.add_peer_usage(added, clock.now())
--- a/hillthread/state/quotas/quota_ledger.py
+++ b/hillthread/state/quotas/quota_ledger.py
@@ -80,7 +80,7 @@
 
     def reachable_share(self, now: float) -> float:
         """Returns how many hosts are in touch with this one, of all."""
-        return min(1.0, self.exchange.hosts_heard(now) / self.host_count)
+        return min(1.0, self.exchange.reachable_hosts(now) / self.host_count)
 
     def refresh(self, now: float) -> None:
         """Brings all quotas up to date."""
@@ -122,8 +122,8 @@
 
     def report_usage(self, key: int, amount: float, now: float) -> bool:
         """Has other hosts told of what was sent; returns whether soon."""
-        self.exchange.sent(key, amount)
-        return self.exchange.is_hand_over_due(now, self.host_count)
+        self.exchange.add_usage(key, amount)
+        return self.exchange.is_report_due(now, self.host_count)
 
     def add_peer_usage(self, added: Mapping[int, float], now: float) -> None:
         """Takes in what others have sent, by the key of the organisation."""
--- a/hillthread/state/quotas/usage_exchange.py
+++ b/hillthread/state/quotas/usage_exchange.py
@@ -21,9 +21,9 @@
 from typing import NamedTuple
 
 __all__ = [
-    "HAND_OVER_S",
+    "HOST_REPORT_INTERVAL_S",
     "MAX_TOTALS",
-    "TELL_S",
+    "GROUP_REPORT_INTERVAL_S",
     "Urgency",
     "UsageExchange",
     "UsageNotice",
@@ -33,8 +33,8 @@
 
 # Hosts that are heard hand over, and gatherers tell, at least so often while
 # there are quotas.
-HAND_OVER_S = 0.3
-TELL_S = 0.12
+HOST_REPORT_INTERVAL_S = 0.3
+GROUP_REPORT_INTERVAL_S = 0.12
 # Who was not heard for so long is out of touch: three packets lost in a row.
 # The sides of a cut both spend the whole quota until then.
 _HOST_SILENT_S = 1.0
@@ -157,7 +157,7 @@
         self.silent_s = silent_s
         self.senders: dict[int, _Sender] = {}
 
-    def take(self, notice: UsageNotice, now: float) -> dict[int, float]:
+    def apply_notice(self, notice: UsageNotice, now: float) -> dict[int, float]:
         """Returns the units that a notice adds, by organisation."""
         before = self.senders.get(notice.origin)
         if before is None or not self._is_current(before, notice, now):
@@ -211,11 +211,11 @@
         self._handed_to = 0
         self._handed: dict[int, float] = {}
 
-    def sent(self, key: int, amount: float) -> None:
+    def add_usage(self, key: int, amount: float) -> None:
         """Counts what this host has sent, or gives back if negative."""
         self._own.add(key, amount)
 
-    def hosts_heard(self, now: float) -> int:
+    def reachable_hosts(self, now: float) -> int:
         """Returns how many hosts are in touch, this one included."""
         return max(1, self._groups.hosts(now) + self._gathers_for(now))
 
@@ -226,18 +226,18 @@
 
     # To the host that gathers.
 
-    def is_hand_over_due(self, now: float, sharers: int) -> bool:
+    def is_report_due(self, now: float, sharers: int) -> bool:
         """Returns whether the host that gathers is to be told.
 
         Args:
             now: Seconds.
             sharers: Hosts that hand over.
         """
-        if now - self._own.told_at >= HAND_OVER_S:
+        if now - self._own.told_at >= HOST_REPORT_INTERVAL_S:
             return True
         return bool(self._own.due(self.urgency, sharers))
 
-    def hand_over(
+    def report_to(
         self, gatherer: int, now: float, sharers: int
     ) -> UsageNotice | None:
         """Returns what the host that gathers is told; None if it is this one.
@@ -267,22 +267,22 @@
 
     def gather(self, notice: UsageNotice, now: float) -> dict[int, float]:
         """Takes in what a host hands over; returns what it adds."""
-        added = self._members.take(notice, now)
+        added = self._members.apply_notice(notice, now)
         for key, amount in added.items():
             self._gathered.add(key, amount)
         return added
 
-    def keep_for_members(self, notice: UsageNotice) -> None:
+    def queue_for_members(self, notice: UsageNotice) -> None:
         """Keeps what another data centre tells until it is handed on."""
         self._waiting.append(notice)
         del self._waiting[:-_MAX_WAITING]
 
-    def told_elsewhere(self) -> list[UsageNotice]:
+    def pop_remote_notices(self) -> list[UsageNotice]:
         """Returns what other data centres told, to be handed on once."""
         waiting, self._waiting = self._waiting, []
         return waiting
 
-    def tell_group(self, now: float, sharers: int) -> UsageNotice | None:
+    def report_group(self, now: float, sharers: int) -> UsageNotice | None:
         """Returns what this data centre has sent, if it is due.
 
         Args:
@@ -291,7 +291,9 @@
         """
         hosts = self._gathers_for(now)
         keys = self._gathered.due(self.urgency, sharers)
-        is_beat = hosts and now - self._gathered.told_at >= TELL_S
+        is_beat = (
+            hosts and now - self._gathered.told_at >= GROUP_REPORT_INTERVAL_S
+        )
         if not keys and not is_beat:
             return None
         totals = self._gathered.tell(keys, now)
@@ -299,7 +301,7 @@
 
     # At all hosts.
 
-    def take(self, notice: UsageNotice, now: float) -> dict[int, float]:
+    def apply_notice(self, notice: UsageNotice, now: float) -> dict[int, float]:
         """Takes in what a data centre tells.
 
         Returns:
@@ -308,7 +310,7 @@
         """
         if notice.origin == self.origin:
             return {}
-        added = self._groups.take(notice, now)
+        added = self._groups.apply_notice(notice, now)
         if notice.origin == self._handed_to:
             for key, amount in added.items():
                 added[key] = amount - self._returned(key, amount)
--- a/tests/state/quotas/test_quota_at_size.py
+++ b/tests/state/quotas/test_quota_at_size.py
@@ -103,7 +103,7 @@
     def run(self, length_s):
         """Plays."""
         for host in self.hosts:
-            beat = self.draw.random() * usage_exchange.TELL_S
+            beat = self.draw.random() * usage_exchange.GROUP_REPORT_INTERVAL_S
             self.at(beat, self.beat, host, host.lives)
         self.at(0.0, self.ask)
         while self._events and self._events[0][0] < length_s:
@@ -132,7 +132,11 @@
         if not host.up or life != host.lives:
             return
         gathers = self.gatherer(host) is host
-        pause = usage_exchange.TELL_S if gathers else usage_exchange.HAND_OVER_S
+        pause = (
+            usage_exchange.GROUP_REPORT_INTERVAL_S
+            if gathers
+            else usage_exchange.HOST_REPORT_INTERVAL_S
+        )
         self.at(now + pause, self.beat, host, life)
         self.hand_over(now, host, life)
 
@@ -149,7 +153,7 @@
         gatherer = self.gatherer(host)
         key = usage_exchange.name_key(gatherer.name)
         exchange = host.ledger.exchange
-        notice = exchange.hand_over(key, now, len(self.hosts))
+        notice = exchange.report_to(key, now, len(self.hosts))
         if notice is None:
             self.gathered(now, host)
         else:
@@ -173,8 +177,8 @@
         if not host.up or life != host.lives:
             return
         exchange = host.ledger.exchange
-        own = exchange.tell_group(now, self.data_centres)
-        others = exchange.told_elsewhere()
+        own = exchange.report_group(now, self.data_centres)
+        others = exchange.pop_remote_notices()
         for place, members in enumerate(self.members):
             if own and place != host.data_centre:
                 receiver = self.gatherer(members[0])
@@ -187,13 +191,13 @@
 
     def keep(self, now, host, notice):
         """Takes in what another data centre tells, to be handed on."""
-        host.ledger.exchange.keep_for_members(notice)
+        host.ledger.exchange.queue_for_members(notice)
         self.take(now, host, notice)
         self.gathered(now, host)
 
     def take(self, now, host, notice):
         """Takes in what a data centre has sent."""
-        added = host.ledger.exchange.take(notice, now)
+        added = host.ledger.exchange.apply_notice(notice, now)
         host.ledger.add_peer_usage(added, now)
 
     def carry(self, now, sender, receiver, action, notice):
--- a/tests/state/quotas/test_target_limits.py
+++ b/tests/state/quotas/test_target_limits.py
@@ -100,7 +100,7 @@
     def test_what_many_ask_for_is_left_to_some(self):
         known = limits(hosts=400, draw=0.5)
         known.apply_answer(TARGET, 2.0, 0.0)
-        known.ledger.exchange.hosts_heard = lambda now: 400
+        known.ledger.exchange.reachable_hosts = lambda now: 400
         self.assertFalse(known.admit(TARGET, 2.0))
         self.assertEqual(known.statuses(2.0)[0].passed_over, 1)
         known.draw = lambda: 0.01
--- a/tests/state/quotas/test_usage_exchange.py
+++ b/tests/state/quotas/test_usage_exchange.py
@@ -28,87 +28,87 @@
 
 def told(gatherer, member, now):
     """Has a member hand over; returns what the gatherer then tells."""
-    notice = member.hand_over(gatherer.origin, now, 2)
-    gatherer.hand_over(gatherer.origin, now, 2)
+    notice = member.report_to(gatherer.origin, now, 2)
+    gatherer.report_to(gatherer.origin, now, 2)
     gatherer.gather(notice, now)
-    return gatherer.tell_group(now, 1)
+    return gatherer.report_group(now, 1)
 
 
 class UsageExchangeTest(unittest.TestCase):
     def test_others_hear_of_all_and_nobody_of_his_own(self):
         gatherer, member, other = map(exchange, ("g", "m", "o"))
-        other.hand_over(gatherer.origin, 0.0, 3)
-        gatherer.sent(ORG, 5.0)
-        member.sent(ORG, 70.0)
+        other.report_to(gatherer.origin, 0.0, 3)
+        gatherer.add_usage(ORG, 5.0)
+        member.add_usage(ORG, 70.0)
         notice = told(gatherer, member, 0.0)
-        self.assertEqual(other.take(notice, 0.0), {ORG: 75.0})
-        self.assertEqual(member.take(notice, 0.0), {ORG: 5.0})
-        self.assertEqual(gatherer.take(notice, 0.0), {})
+        self.assertEqual(other.apply_notice(notice, 0.0), {ORG: 75.0})
+        self.assertEqual(member.apply_notice(notice, 0.0), {ORG: 5.0})
+        self.assertEqual(gatherer.apply_notice(notice, 0.0), {})
 
     def test_lost_packet_only_delays(self):
         gatherer, member, other = map(exchange, ("g", "m", "o"))
-        member.sent(ORG, 1.0)
-        other.take(told(gatherer, member, 0.0), 0.0)
+        member.add_usage(ORG, 1.0)
+        other.apply_notice(told(gatherer, member, 0.0), 0.0)
         for now in (0.1, 0.2):
-            member.sent(ORG, 10.0)
+            member.add_usage(ORG, 10.0)
             lost = told(gatherer, member, now)
-        member.sent(ORG, 100.0)
+        member.add_usage(ORG, 100.0)
         notice = told(gatherer, member, 0.3)
-        self.assertEqual(other.take(notice, 0.3), {ORG: 120.0})
-        self.assertEqual(other.take(notice, 0.3), {ORG: 0.0})
+        self.assertEqual(other.apply_notice(notice, 0.3), {ORG: 120.0})
+        self.assertEqual(other.apply_notice(notice, 0.3), {ORG: 0.0})
         # One that comes late is made up for by the next.
-        late = other.take(lost, 0.3)[ORG]
-        again = other.take(notice, 0.3)[ORG]
+        late = other.apply_notice(lost, 0.3)[ORG]
+        again = other.apply_notice(notice, 0.3)[ORG]
         self.assertEqual(late + again, 0.0)
 
     def test_who_starts_hears_nothing_of_before(self):
         gatherer, member = exchange("g"), exchange("m")
-        member.sent(ORG, 1_000.0)
+        member.add_usage(ORG, 1_000.0)
         told(gatherer, member, 0.0)
-        member.sent(ORG, 7.0)
+        member.add_usage(ORG, 7.0)
         notice = told(gatherer, member, 0.1)
-        self.assertEqual(exchange("o").take(notice, 0.1), {ORG: 7.0})
+        self.assertEqual(exchange("o").apply_notice(notice, 0.1), {ORG: 7.0})
 
     def test_who_was_silent_adds_only_what_is_new(self):
         gatherer, member, other = map(exchange, ("g", "m", "o"))
-        member.sent(ORG, 1.0)
-        other.take(told(gatherer, member, 0.0), 0.0)
-        member.sent(ORG, 1_000.0)
+        member.add_usage(ORG, 1.0)
+        other.apply_notice(told(gatherer, member, 0.0), 0.0)
+        member.add_usage(ORG, 1_000.0)
         told(gatherer, member, 2.0)
-        member.sent(ORG, 3.0)
+        member.add_usage(ORG, 3.0)
         notice = told(gatherer, member, 4.0)
-        self.assertEqual(other.take(notice, 4.0), {ORG: 3.0})
+        self.assertEqual(other.apply_notice(notice, 4.0), {ORG: 3.0})
 
     def test_process_that_starts_again_counts_from_zero(self):
         gatherer, member, other = map(exchange, ("g", "m", "o"))
-        member.sent(ORG, 1_000.0)
-        other.take(told(gatherer, member, 0.0), 0.0)
+        member.add_usage(ORG, 1_000.0)
+        other.apply_notice(told(gatherer, member, 0.0), 0.0)
         again = exchange("m", start=2)
-        again.sent(ORG, 4.0)
+        again.add_usage(ORG, 4.0)
         notice = told(gatherer, again, 0.2)
-        self.assertEqual(other.take(notice, 0.2), {ORG: 4.0})
+        self.assertEqual(other.apply_notice(notice, 0.2), {ORG: 4.0})
 
     def test_hosts_in_touch_are_counted(self):
         gatherer, member, other = map(exchange, ("g", "m", "o"))
-        self.assertEqual(other.hosts_heard(0.0), 1)
-        other.take(told(gatherer, member, 0.0), 0.0)
-        self.assertEqual(other.hosts_heard(0.1), 2)
-        self.assertEqual(gatherer.hosts_heard(0.1), 2)
-        self.assertEqual(other.hosts_heard(1.0), 1)
-        self.assertEqual(gatherer.hosts_heard(2.0), 1)
+        self.assertEqual(other.reachable_hosts(0.0), 1)
+        other.apply_notice(told(gatherer, member, 0.0), 0.0)
+        self.assertEqual(other.reachable_hosts(0.1), 2)
+        self.assertEqual(gatherer.reachable_hosts(0.1), 2)
+        self.assertEqual(other.reachable_hosts(1.0), 1)
+        self.assertEqual(gatherer.reachable_hosts(2.0), 1)
 
     def test_little_use_is_not_told_at_once(self):
         gatherer = exchange("g", urgency=seldom)
         member = exchange("m", urgency=seldom)
-        member.hand_over(gatherer.origin, 0.0, 2)
-        member.sent(ORG, 400.0)
-        self.assertFalse(member.is_hand_over_due(0.1, 2))
-        member.sent(ORG, 100.0)
-        self.assertTrue(member.is_hand_over_due(0.1, 2))
+        member.report_to(gatherer.origin, 0.0, 2)
+        member.add_usage(ORG, 400.0)
+        self.assertFalse(member.is_report_due(0.1, 2))
+        member.add_usage(ORG, 100.0)
+        self.assertTrue(member.is_report_due(0.1, 2))
         # What is not due is not told, and not forgotten.
-        notice = member.hand_over(gatherer.origin, 0.1, 1)
+        notice = member.report_to(gatherer.origin, 0.1, 1)
         self.assertEqual(notice.totals, [])
-        notice = member.hand_over(gatherer.origin, 0.1, 2)
+        notice = member.report_to(gatherer.origin, 0.1, 2)
         self.assertEqual(notice.totals[0].recent, 500.0)
 
     def test_packet_carries_as_much_as_it_is_said_to(self):
