--- a/hillthread/bench/limits.py
+++ b/hillthread/bench/limits.py
@@ -46,12 +46,12 @@
         bounds = objects.Limits(requests_per_s=_LIMIT)
         self.usage = limits.TenantUsage(bounds, 1.0 / _HOSTS, 0.0)
         self.shares = shares.DemandShares()
-        self.shares.routers = _HOSTS
+        self.shares.router_count = _HOSTS
         self.alive = True
 
     def ask(self, now: float, share: float) -> bool:
         """Returns whether a request is admitted by this host's share."""
-        self.usage.adopt(self.usage.limits, share, now)
+        self.usage.set_limits(self.usage.limits, share, now)
         if self.usage.refusal_wait_s(now) is not None:
             return False
         self.usage.begin()
@@ -115,7 +115,7 @@
         self.hosts[-1].alive = False
         if now >= middle + _SUSPECT_S:
             for host in self.hosts:
-                host.shares.routers = _HOSTS - 1
+                host.shares.router_count = _HOSTS - 1
 
     def _tell(self, now: float) -> None:
         if self.way != "demand":
@@ -123,7 +123,7 @@
         for number, host in enumerate(self.hosts):
             if host.alive:
                 self.messages += _HOSTS - 1
-                demand = host.shares.turn(now)
+                demand = host.shares.end_interval(now)
                 self.told.append((now + _DELAY_S, number, demand))
 
     def _deliver(self, now: float) -> None:
@@ -132,7 +132,7 @@
         for _, source, demand in due:
             for number, host in enumerate(self.hosts):
                 if number != source and not self._cut(source, number, now):
-                    host.shares.hear(str(source), demand, now)
+                    host.shares.update_peer(str(source), demand, now)
 
     def _cut(self, one: int, other: int, now: float) -> bool:
         if self.pattern != "cut_off" or now < _SECONDS / 2:
@@ -142,14 +142,14 @@
     def _request(self, number: int, now: float) -> None:
         self.wanted += 1
         host = self.hosts[number]
-        host.shares.want("t")
+        host.shares.count_request("t")
         if self._admit(number, host, now):
             self.seconds[int(now)] += 1
 
     def _admit(self, number: int, host: _Host, now: float) -> bool:
         match self.way:
             case "equal":
-                return host.ask(now, 1.0 / max(1, host.shares.routers))
+                return host.ask(now, 1.0 / max(1, host.shares.router_count))
             case "demand":
                 return host.ask(now, host.shares.share("t", now))
             case _:
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -164,7 +164,9 @@
             self.link = None
             self.router.fleet.silent_routers += self.router.fleet.heard_routers
             self.router.fleet.heard_routers = 0
-            self.router.demand.routers = 1 + self.router.fleet.silent_routers
+            self.router.demand.router_count = (
+                1 + self.router.fleet.silent_routers
+            )
 
     async def _share(self, link: link_lib.Link) -> None:
         """Tells a placement at once, further ones after a fixed time."""
@@ -186,7 +188,7 @@
         """Tells demand and finished records, at fixed intervals."""
         while True:
             await anyio.sleep(_DEMAND_EVERY_S)
-            rates = self.router.demand.turn(clock.now())
+            rates = self.router.demand.end_interval(clock.now())
             try:
                 await link.send(messages.Demand(self.identity.host, rates))
                 await self._send_finished(link)
@@ -219,9 +221,9 @@
             case messages.Members():
                 fleet.heard_routers = message.heard
                 fleet.silent_routers = message.silent
-                self.router.demand.routers = 1 + message.heard
+                self.router.demand.router_count = 1 + message.heard
             case messages.Demand():
-                self.router.demand.hear(
+                self.router.demand.update_peer(
                     message.host, message.rates, clock.now()
                 )
             case messages.RecordQuery():
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -196,13 +196,13 @@
         now = clock.now()
         share = 1.0
         if tenant.limits != _NO_LIMITS:
-            self.demand.want(tenant.name)
+            self.demand.count_request(tenant.name)
             share = self.demand.share(tenant.name, now)
         usage = self.usage.get(tenant.name)
         if usage is None:
             usage = limits.TenantUsage(tenant.limits, share, now)
             self.usage[tenant.name] = usage
-        usage.adopt(tenant.limits, share, now)
+        usage.set_limits(tenant.limits, share, now)
         return usage
 
     async def _give_back(
--- a/hillthread/state/quotas/limits.py
+++ b/hillthread/state/quotas/limits.py
@@ -57,7 +57,9 @@
         self.requests = self._bucket(limits.requests_per_s, now)
         self.tokens = self._bucket(limits.tokens_per_s, now)
 
-    def adopt(self, limits: objects.Limits, share: float, now: float) -> None:
+    def set_limits(
+        self, limits: objects.Limits, share: float, now: float
+    ) -> None:
         """Takes over changed limits or a changed share, keeping usage."""
         if limits == self.limits and share == self.share:
             return
--- a/hillthread/state/quotas/shares.py
+++ b/hillthread/state/quotas/shares.py
@@ -31,16 +31,16 @@
 
     def __init__(self):
         self.own: dict[str, float] = {}
-        self.routers = 1
+        self.router_count = 1
         self._wanted: dict[str, int] = {}
         self._told: dict[str, tuple[float, Mapping[str, float]]] = {}
         self._turned_at: float | None = None
 
-    def want(self, tenant: str) -> None:
+    def count_request(self, tenant: str) -> None:
         """Notes that a caller of a tenant wants a request."""
         self._wanted[tenant] = self._wanted.get(tenant, 0) + 1
 
-    def turn(self, now: float) -> dict[str, float]:
+    def end_interval(self, now: float) -> dict[str, float]:
         """Ends an interval and returns the demand to tell others."""
         if self._turned_at is None or now <= self._turned_at:
             self._turned_at = now
@@ -55,7 +55,9 @@
         self.own = {t: r for t, r in self.own.items() if r > _IDLE_RATE}
         return dict(self.own)
 
-    def hear(self, host: str, demand: Mapping[str, float], now: float) -> None:
+    def update_peer(
+        self, host: str, demand: Mapping[str, float], now: float
+    ) -> None:
         """Takes in what another router told."""
         self._told[host] = (now, demand)
 
@@ -65,9 +67,9 @@
         The parts of all routers add up to 1 when all have heard the same, and
         to 1 plus the floor when one's callers are new.
         """
-        equal = 1.0 / max(1, self.routers)
+        equal = 1.0 / max(1, self.router_count)
         heard = self._heard(now)
-        if len(heard) + 1 < self.routers:
+        if len(heard) + 1 < self.router_count:
             return equal
         own = self.own.get(tenant, 0.0)
         others = sum(demand.get(tenant, 0.0) for demand in heard)
--- a/tests/state/quotas/test_limits.py
+++ b/tests/state/quotas/test_limits.py
@@ -44,7 +44,7 @@
         admitted = 0
         for tick in range(1000):
             now = tick * 0.001
-            usage.adopt(usage.limits, 0.5 + 0.1 * (tick % 2), now)
+            usage.set_limits(usage.limits, 0.5 + 0.1 * (tick % 2), now)
             if usage.refusal_wait_s(now) is None:
                 usage.begin()
                 admitted += 1
@@ -54,21 +54,21 @@
 class DemandSharesTest(unittest.TestCase):
     def test_shares_follow_demand_and_forget(self):
         own = shares.DemandShares()
-        own.routers = 2
+        own.router_count = 2
         self.assertEqual(own.share("t", 0.0), 0.5)
-        own.turn(0.0)
+        own.end_interval(0.0)
         for _ in range(30):
-            own.want("t")
-        own.turn(1.0)
-        own.hear("other", {"t": 10.0}, 1.0)
+            own.count_request("t")
+        own.end_interval(1.0)
+        own.update_peer("other", {"t": 10.0}, 1.0)
         self.assertAlmostEqual(own.share("t", 1.0), 0.75)
         self.assertEqual(own.share("t", 9.0), 0.5)
 
     def test_host_without_demand_keeps_a_floor(self):
         own = shares.DemandShares()
-        own.routers = 4
+        own.router_count = 4
         for host in "abc":
-            own.hear(host, {"t": 100.0}, 0.0)
+            own.update_peer(host, {"t": 100.0}, 0.0)
         self.assertAlmostEqual(own.share("t", 0.0), 0.025)
 
     def test_overshoot_is_bounded_under_every_pattern(self):
