--- a/hillthread/coordination/gate.py
+++ b/hillthread/coordination/gate.py
@@ -107,7 +107,7 @@
             queue = self.queues[pool.name] = admission.AdmissionQueue(
                 pool.queue_size
             )
-        queue.size = pool.queue_size
+        queue.capacity = pool.queue_size
         return queue
 
     def _try(
--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -210,7 +210,9 @@
     least_s = refusal.retry_after_s
     if least_s is None:
         return None
-    after_s = return_time.return_after_s(least_s, priority, random.random())
+    after_s = return_time.staggered_retry_after_s(
+        least_s, priority, random.random()
+    )
     return round(after_s, 3)
 
 
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -128,7 +128,7 @@
         """
         expected = planned.estimate
         aim_s = self.request.route.first_byte_aim_s
-        if not aim_admission.is_hopeless(expected, aim_s):
+        if not aim_admission.is_queue_too_long(expected, aim_s):
             return
         raise errors.RefusalError(
             "queue_too_long",
@@ -136,7 +136,7 @@
             f"On the engine that costs least, prompts ahead take "
             f"{expected.queue_s:.2f} s; the aim is {aim_s:.2f} s.",
             "Try again after the time in Retry-After.",
-            retry_after_s=aim_admission.return_s(expected),
+            retry_after_s=aim_admission.queue_drain_s(expected),
         )
 
     def _look_again(self) -> None:
@@ -310,7 +310,7 @@
             reason=reason,
             sends=self.sends,
             runs=self.runs,
-            budget_left=round(budget.left(now), 2),
+            budget_left=round(budget.remaining(now), 2),
         )
         if allowed:
             self.metrics.retries.labels(reason[:32]).inc()
--- a/hillthread/state/quotas/admission.py
+++ b/hillthread/state/quotas/admission.py
@@ -46,8 +46,8 @@
         served_per_s: Smoothed rate at which tickets leave to be served.
     """
 
-    def __init__(self, size: int):
-        self.size = size
+    def __init__(self, capacity: int):
+        self.capacity = capacity
         self.served_per_s = 0.0
         self.last_served_at: float | None = None
         self._sequence = itertools.count()
@@ -74,7 +74,7 @@
         if now + self.expected_wait_s(priority) > deadline:
             return Offer(None, None)
         shed = None
-        if len(self._waiting) >= self.size:
+        if len(self._waiting) >= self.capacity:
             last = self._waiting[-1]
             if last.priority <= priority:
                 return Offer(None, None)
--- a/hillthread/state/quotas/aim_admission.py
+++ b/hillthread/state/quotas/aim_admission.py
@@ -16,13 +16,13 @@
 
 from hillthread.state.routing import first_byte
 
-__all__ = ["is_hopeless", "return_s"]
+__all__ = ["is_queue_too_long", "queue_drain_s"]
 
 # Of the aim: a queue as long as the aim leaves no time to read the prompt.
 _LONGEST_QUEUE_SHARE = 1.0
 
 
-def is_hopeless(expected: first_byte.Estimate, aim_s: float) -> bool:
+def is_queue_too_long(expected: first_byte.Estimate, aim_s: float) -> bool:
     """Returns whether a prompt would be late, and delay others.
 
     Args:
@@ -32,6 +32,6 @@
     return aim_s > 0.0 and expected.queue_s >= aim_s * _LONGEST_QUEUE_SHARE
 
 
-def return_s(expected: first_byte.Estimate) -> float:
+def queue_drain_s(expected: first_byte.Estimate) -> float:
     """Returns after how long the queue is over if nothing else comes."""
     return expected.queue_s
--- a/hillthread/state/quotas/retry_budget.py
+++ b/hillthread/state/quotas/retry_budget.py
@@ -38,7 +38,7 @@
         self._first.append(now)
         self._expire(now)
 
-    def left(self, now: float) -> float:
+    def remaining(self, now: float) -> float:
         """Returns the retries that may still be made."""
         self._expire(now)
         earned = self.extra + self.ratio * len(self._first)
@@ -46,7 +46,7 @@
 
     def withdraw(self, now: float) -> bool:
         """Returns whether a retry is allowed, and notes it if so."""
-        if self.left(now) < 1.0:
+        if self.remaining(now) < 1.0:
             return False
         self._retries.append(now)
         return True
--- a/hillthread/state/quotas/return_time.py
+++ b/hillthread/state/quotas/return_time.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-__all__ = ["return_after_s"]
+__all__ = ["staggered_retry_after_s"]
 
 # Length of the span of one class, as a share of the least time. With three
 # classes the last come back after 1.75 times the least.
@@ -16,7 +16,9 @@
 _LAST_SPAN = 3
 
 
-def return_after_s(least_s: float, priority: int, draw: float) -> float:
+def staggered_retry_after_s(
+    least_s: float, priority: int, draw: float
+) -> float:
     """Returns after how long a caller should come back, seconds.
 
     Args:
