--- a/hillthread/coordination/admin.py
+++ b/hillthread/coordination/admin.py
@@ -224,7 +224,7 @@
             "alive": self.node.members.alive(),
             "routers": len(self.node.hub.routers()),
             "leaving": sorted(self.node.departures.leaving),
-            "unreadable_records": keeper.configuration.unreadable,
+            "unreadable_records": keeper.configuration.unreadable_count,
             "refused_batches": keeper.refused,
         }
 
--- a/hillthread/coordination/configuration_keeper.py
+++ b/hillthread/coordination/configuration_keeper.py
@@ -34,7 +34,7 @@
         self.configuration = configuration.Configuration()
         self.listeners: list[AdvanceListener] = []
         self.refused = 0
-        self.highest_told = configuration.START
+        self.highest_told = configuration.START_POSITION
         self.log_read = False
         self.awaits_peers = False
         self._peer_complete = False
@@ -62,7 +62,7 @@
         """Notes the position a peer has in force."""
         self.highest_told = max(self.highest_told, position)
         self.awaits_peers = False
-        if self.position >= position > configuration.START:
+        if self.position >= position > configuration.START_POSITION:
             self._peer_complete = True
 
     def take(
@@ -82,7 +82,7 @@
         if skip < 0 or skip >= len(payloads):
             return False
         fresh = list(payloads[skip:])
-        if chain and chain != configuration.chain_after(
+        if chain and chain != configuration.extend_chain(
             self.configuration.chain, fresh
         ):
             self.refused += 1
@@ -124,7 +124,7 @@
         return configuration.encode_change(self.configuration.snapshot())
 
     def _advanced(self, first_offset: int, payloads: list[bytes]) -> None:
-        if self.position >= self.highest_told > configuration.START:
+        if self.position >= self.highest_told > configuration.START_POSITION:
             self._peer_complete = True
         for listener in self.listeners:
             listener(first_offset, payloads)
--- a/hillthread/coordination/exchange.py
+++ b/hillthread/coordination/exchange.py
@@ -54,7 +54,7 @@
         return self.intent.completion
 
     @property
-    def resolved(self) -> routing_table.Resolved:
+    def resolved(self) -> routing_table.ResolvedRoute:
         """Route, policy, pool and targets."""
         return self.intent.resolved
 
--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -166,7 +166,7 @@
     scheme, _, key = caller.get(b"authorization").partition(b" ")
     tenant = None
     if scheme.decode("latin-1").lower() == _BEARER and site.table is not None:
-        tenant = site.table.tenant_of_key(key.strip().decode("latin-1"))
+        tenant = site.table.find_tenant_by_key(key.strip().decode("latin-1"))
     if tenant is None:
         raise errors.RefusalError(
             "invalid_key",
--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -97,7 +97,7 @@
         before = self.configuration
         if before is not None and adopted.version <= before.version:
             return
-        self.table = adopted.table()
+        self.table = adopted.build_routing_table()
         self.configuration = adopted
         self._note_known()
         self.metrics.position.set(adopted.version)
--- a/hillthread/coordination/intake.py
+++ b/hillthread/coordination/intake.py
@@ -42,7 +42,7 @@
 
     body: bytes
     completion: openai.CompletionRequest | None
-    resolved: routing_table.Resolved
+    resolved: routing_table.ResolvedRoute
     query: decision_lib.Query
 
 
@@ -55,7 +55,7 @@
         RefusalError: The key is missing or unknown.
     """
     key = request.bearer_key()
-    tenant = None if key is None else table.tenant_of_key(key)
+    tenant = None if key is None else table.find_tenant_by_key(key)
     if tenant is None:
         raise errors.RefusalError(
             "invalid_key",
--- a/hillthread/coordination/log_follower.py
+++ b/hillthread/coordination/log_follower.py
@@ -142,7 +142,7 @@
         """Returns whether the log still holds the record last applied."""
         position = self.keeper.position
         last = self.keeper.last_payload()
-        if position == configuration.START:
+        if position == configuration.START_POSITION:
             return True
         page = await self.client.read(self.stream, position, limit=1)
         if page.next_offset <= position:
--- a/hillthread/state/config/configuration.py
+++ b/hillthread/state/config/configuration.py
@@ -22,7 +22,7 @@
 from hillthread.state.config import payloads
 
 __all__ = [
-    "Applied",
+    "AuditEntry",
     "Change",
     "Configuration",
     "Delete",
@@ -31,13 +31,13 @@
     "Rejection",
     "Snapshot",
     "StoredObject",
-    "chain_after",
+    "extend_chain",
     "decode_change",
     "encode_change",
 ]
 
 EMPTY_CHAIN = "0" * 32
-START = -1
+START_POSITION = -1
 _MAX_OUTCOMES = 1024
 _MAX_HISTORY = 1024
 
@@ -127,7 +127,7 @@
     rejection: Rejection | None
 
 
-class Applied(NamedTuple):
+class AuditEntry(NamedTuple):
     """One line of the audit history.
 
     Attributes:
@@ -183,18 +183,18 @@
     """
 
     def __init__(self):
-        self.position = START
+        self.position = START_POSITION
         self.chain = EMPTY_CHAIN
         self.stored: dict[objects.ObjectKey, StoredObject] = {}
         self.decoded: dict[objects.ObjectKey, objects.ConfigurationObject] = {}
         self.outcomes: collections.OrderedDict[str, Outcome] = (
             collections.OrderedDict()
         )
-        self.history: collections.deque[Applied] = collections.deque(
+        self.history: collections.deque[AuditEntry] = collections.deque(
             maxlen=_MAX_HISTORY
         )
-        self.unreadable = 0
-        self.snapshot_position = START
+        self.unreadable_count = 0
+        self.snapshot_position = START_POSITION
 
     def apply(self, offset: int, payload: bytes) -> bool:
         """Takes in the next record.
@@ -215,11 +215,11 @@
                 "Read the log from the position after the last one applied.",
             )
         self.position = offset
-        self.chain = chain_after(self.chain, [payload])
+        self.chain = extend_chain(self.chain, [payload])
         try:
             change = decode_change(payload)
         except errors.ConfigurationError:
-            self.unreadable += 1
+            self.unreadable_count += 1
             return False
         match change:
             case Snapshot():
@@ -322,7 +322,7 @@
         previous = self.stored.get(key) if key else None
         operation = "put" if isinstance(change, Put) else "delete"
         self.history.append(
-            Applied(
+            AuditEntry(
                 offset,
                 change.actor,
                 change.made_at,
@@ -339,7 +339,7 @@
             self.outcomes.popitem(last=False)
 
 
-def chain_after(chain: str, payloads: Sequence[bytes]) -> str:
+def extend_chain(chain: str, payloads: Sequence[bytes]) -> str:
     """Returns the chain after more records."""
     for payload in payloads:
         key = bytes.fromhex(chain)
--- a/hillthread/state/config/routing_table.py
+++ b/hillthread/state/config/routing_table.py
@@ -13,13 +13,13 @@
 from hillthread.state.config import objects
 from hillthread.state.config import route_index
 
-__all__ = ["PoolPart", "Resolved", "RoutingTable"]
+__all__ = ["WeightedPool", "ResolvedRoute", "RoutingTable"]
 
 _MAX_RESOLVED = 4096
 _DEFAULT_POLICY = objects.Policy(name="default")
 
 
-class Resolved(NamedTuple):
+class ResolvedRoute(NamedTuple):
     """What applies to one request.
 
     Attributes:
@@ -35,7 +35,7 @@
     targets: tuple[objects.Target, ...]
 
 
-class PoolPart(NamedTuple):
+class WeightedPool(NamedTuple):
     """A pool that takes a part of a route's requests.
 
     Attributes:
@@ -82,7 +82,7 @@
         self._shares: cachetools.LRUCache = cachetools.LRUCache(_MAX_RESOLVED)
         self._targets_of: dict[str, tuple[objects.Target, ...]] = {}
 
-    def tenant_of_key(self, key: str) -> objects.Tenant | None:
+    def find_tenant_by_key(self, key: str) -> objects.Tenant | None:
         """Returns the tenant whose bearer key this is, or None."""
         digest = hashlib.sha256(key.encode()).hexdigest()
         found = self._tenant_by_digest.get(digest)
@@ -95,7 +95,7 @@
 
     def resolve(
         self, tenant: objects.Tenant, path: str, model: str
-    ) -> Resolved | None:
+    ) -> ResolvedRoute | None:
         """Returns what applies to a request, or None without a route.
 
         Args:
@@ -111,7 +111,7 @@
             self._resolved[cache_key] = self._resolve(tenant, route)
         return self._resolved[cache_key]
 
-    def pool_shares(self, route: objects.Route) -> tuple[PoolPart, ...]:
+    def pool_shares(self, route: objects.Route) -> tuple[WeightedPool, ...]:
         """Returns the pools of a route with their weights."""
         if route.name not in self._shares:
             self._shares[route.name] = self._parts_of(route)
@@ -125,12 +125,12 @@
         """Returns the pools whose targets serve a model."""
         return [pool for pool in self._pools if model in pool.models]
 
-    def _parts_of(self, route: objects.Route) -> tuple[PoolPart, ...]:
+    def _parts_of(self, route: objects.Route) -> tuple[WeightedPool, ...]:
         shares = route.pool_shares or [
             objects.PoolShare(route.pool_selector, 1.0)
         ]
         return tuple(
-            PoolPart(pool, share.weight)
+            WeightedPool(pool, share.weight)
             for share in shares
             for pool in self._pools
             if _selects(share.pool_selector, pool)
@@ -168,7 +168,7 @@
 
     def _resolve(
         self, tenant: objects.Tenant, route: objects.Route
-    ) -> Resolved | None:
+    ) -> ResolvedRoute | None:
         pools = [
             pool for pool in self._pools if _selects(route.pool_selector, pool)
         ]
@@ -184,7 +184,9 @@
         )
         if route.name not in self._targets_of:
             self._targets_of[route.name] = self._select_targets(pools)
-        return Resolved(route, policy, pools[0], self._targets_of[route.name])
+        return ResolvedRoute(
+            route, policy, pools[0], self._targets_of[route.name]
+        )
 
     def _select_targets(
         self, pools: list[objects.Pool]
--- a/hillthread/state/config/site_configuration.py
+++ b/hillthread/state/config/site_configuration.py
@@ -27,6 +27,6 @@
     bounds: caller_bounds.CallerBounds
     has_tenants: bool
 
-    def table(self) -> routing_table.RoutingTable:
+    def build_routing_table(self) -> routing_table.RoutingTable:
         """Returns the routing table of this version."""
         return routing_table.RoutingTable(self.version, self.decoded)
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -42,14 +42,14 @@
 
 def keeps_withdrawn_keys():
     kept = {}
-    find = routing_table.RoutingTable.tenant_of_key
+    find = routing_table.RoutingTable.find_tenant_by_key
 
     def find_again(self, key):
         tenant = find(self, key) or kept.get(key)
         kept[key] = tenant
         return tenant
 
-    routing_table.RoutingTable.tenant_of_key = find_again
+    routing_table.RoutingTable.find_tenant_by_key = find_again
 
 
 def shares_memory_between_weights():
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -76,7 +76,7 @@
             "tenants": [{"name": "t", "apiKeys": ["a"], "isolated": True}],
         }
         decoded = configuration.decode_configuration(msgspec.json.encode(raw))
-        table = decoded.table()
+        table = decoded.build_routing_table()
         self.assertEqual(decoded.version, 7)
         self.assertEqual(decoded.bounds.max_head_bytes, 99)
         self.assertEqual(decoded.bounds.idle_timeout_s, 1.5)
@@ -87,7 +87,7 @@
             [(part.pool.name, part.weight) for part in parts],
             [("x", 90), ("y", 10)],
         )
-        self.assertEqual(table.tenant_of_key("a").organisation, "t")
+        self.assertEqual(table.find_tenant_by_key("a").organisation, "t")
         self.assertEqual(table.cache_stores[0].address, "10.0.0.1:1")
         self.assertEqual(table.cache_stores[0].link_bytes_per_s, 1e6)
         self.assertEqual(parts[0].pool.cache_token_bytes, 9)
@@ -98,7 +98,7 @@
         tenant = {"name": "t", "apiKeys": ["a"], **fields}
         raw = {"version": 1, "routes": [], "services": [], "tenants": [tenant]}
         decoded = configuration.decode_configuration(msgspec.json.encode(raw))
-        return decoded.table().tenant_of_key("a").quota
+        return decoded.build_routing_table().find_tenant_by_key("a").quota
 
     def test_quotas(self):
         quota = self.decode_quota(
--- a/tests/state/config/test_configuration.py
+++ b/tests/state/config/test_configuration.py
@@ -87,7 +87,7 @@
 
     def test_unreadable_and_invalid_records_change_nothing(self):
         self.apply(b"\xff", b'{"op":"later"}', put("a", "NOT VALID", 0))
-        self.assertEqual(self.state.unreadable, 2)
+        self.assertEqual(self.state.unreadable_count, 2)
         self.assertEqual(
             self.state.outcomes["a"].rejection.code, "invalid_configuration"
         )
@@ -102,7 +102,9 @@
         self.apply(put("a", "t", 0))
         lagging = configuration.encode_change(self.state.snapshot())
         self.apply(put("b", "u", 0), lagging)
-        self.assertEqual(self.state.snapshot_position, configuration.START)
+        self.assertEqual(
+            self.state.snapshot_position, configuration.START_POSITION
+        )
         covering = configuration.encode_change(self.state.snapshot())
         self.apply(covering)
         self.assertEqual(self.state.snapshot_position, 2)
--- a/tests/state/config/test_routing_table.py
+++ b/tests/state/config/test_routing_table.py
@@ -76,6 +76,6 @@
 
     def test_keys(self):
         found = table(tenant("a"), tenant("b"))
-        self.assertEqual(found.tenant_of_key("b").name, "b")
-        self.assertIsNone(found.tenant_of_key("c"))
-        self.assertIsNone(found.tenant_of_key(""))
+        self.assertEqual(found.find_tenant_by_key("b").name, "b")
+        self.assertIsNone(found.find_tenant_by_key("c"))
+        self.assertIsNone(found.find_tenant_by_key(""))
