--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -433,7 +433,7 @@
                     },
                 )
             self.metrics.ready.set(not reason)
-            self.metrics.suspects.set(self.site.quarantine.size)
+            self.metrics.suspects.set(self.site.quarantine.suspect_count)
             self._count_unavailable(now)
             self.metrics.age.set(self.site.freshness.age(now))
             self.metrics.connections.set(self.pool.opened.total())
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -45,9 +45,9 @@
     ALL = enum.auto()
 
     @classmethod
-    def of(cls, standing: quarantine.Standing) -> Apartness:
+    def of(cls, standing: quarantine.QuarantineStatus) -> Apartness:
         """Returns what a request's standing asks for."""
-        if standing.ends >= quarantine.CONVICTED_ENDS:
+        if standing.ends >= quarantine.CULPRIT_MIN_ENDS:
             return cls.ALL
         return cls.SUSPECTS if standing.is_suspect else cls.NONE
 
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -105,7 +105,7 @@
                 request, self.runs, self.tries_suspect
             )
             self.is_suspect = standing.is_suspect
-            self.tries_suspect = standing.ends >= quarantine.HELD_ENDS
+            self.tries_suspect = standing.ends >= quarantine.HOLD_MIN_ENDS
             planned = self.tools.chooser.plan(
                 request,
                 frozenset(self.tried),
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -98,7 +98,7 @@
 
     def admit(
         self, request: intake.GatewayRequest, runs: int, tries_it: bool
-    ) -> quarantine.Standing:
+    ) -> quarantine.QuarantineStatus:
         """Returns how a request stands that is about to be sent.
 
         Args:
@@ -110,8 +110,8 @@
             RefusalError: It is held, or has ended enough in this try.
         """
         now = clock.now()
-        standing = self.site.quarantine.standing(request.digest, now)
-        if standing.ends < quarantine.HELD_ENDS or (tries_it and not runs):
+        standing = self.site.quarantine.status_of(request.digest, now)
+        if standing.ends < quarantine.HOLD_MIN_ENDS or (tries_it and not runs):
             return standing
         if not runs and not standing.held_s:
             self._begin_trial(request.digest, now)
@@ -149,14 +149,16 @@
         known = self.site.quarantine
         match result:
             case outcome_lib.Relayed() | outcome_lib.Whole():
-                if known.note_well(request.digest, now):
+                if known.record_success(request.digest, now):
                     self._acquitted(request.digest)
             case outcome_lib.Lost() | outcome_lib.Broken() if is_cut:
                 entry = self.site.targets.entries.get(sent.target)
                 # One that leaves ends as planned.
                 if entry is not None and not entry.leaving:
                     self._cut_off[sent.target] = sent.incarnation
-                    known.note_cut(request.digest, sent.incarnation, now)
+                    known.record_disconnect(
+                        request.digest, sent.incarnation, now
+                    )
 
     # What is found of targets.
 
@@ -164,7 +166,7 @@
         """Notes that a connection to a target came up."""
         incarnation = self._cut_off.get(target)
         if incarnation is not None:
-            self.site.quarantine.refute(incarnation)
+            self.site.quarantine.mark_reachable(incarnation)
 
     def target_ended(self, target: str, evidence: str) -> None:
         """Notes that a target is gone, or has started again.
@@ -177,11 +179,11 @@
         if incarnation is None:
             return
         now = clock.now()
-        digests = self.site.quarantine.confirm(incarnation, now)
+        digests = self.site.quarantine.confirm_end(incarnation, now)
         if not digests:
             return
         standings = {
-            digest: self.site.quarantine.standing(digest, now)
+            digest: self.site.quarantine.status_of(digest, now)
             for digest in digests
         }
         _logger.warning(
@@ -204,7 +206,7 @@
             ]
         )
         for digest, standing in standings.items():
-            if standing.ends >= quarantine.CONVICTED_ENDS:
+            if standing.ends >= quarantine.CULPRIT_MIN_ENDS:
                 self._convicted(digest, standing)
 
     # What others tell.
@@ -215,11 +217,11 @@
         known = self.site.quarantine
         match notice.word:
             case work_notice.SuspectWord.WELL:
-                known.note_well(notice.digest, now)
+                known.record_success(notice.digest, now)
             case work_notice.SuspectWord.TRIED:
                 known.begin_trial(notice.digest, now)
             case work_notice.SuspectWord.ENDED:
-                known.note_end(notice.digest, notice.engine, now)
+                known.record_end(notice.digest, notice.engine, now)
 
     def take_record(self, record: topic_copy.TopicRecord) -> None:
         """Takes in what the store keeps of a request.
@@ -238,7 +240,7 @@
         # The time of day may have been set back since.
         ago_s = max(0.0, time.time() - entry.last_at)
         for incarnation in entry.ended:
-            self.site.quarantine.note_end(digest, incarnation, now, ago_s)
+            self.site.quarantine.record_end(digest, incarnation, now, ago_s)
 
     def keep_again(self, key: str, is_lost: Callable[[str], bool]) -> None:
         """Has a record written again that a restored store has lost.
@@ -264,7 +266,7 @@
         spread_s = host_registry.rewrite_spread_s(self.site.hosts)
         await anyio.sleep(random.uniform(rank, rank + 1.0) * spread_s)
         digest = key.removeprefix(host_registry.QUARANTINE_PREFIX)
-        ended = self.site.quarantine.ended_with(digest)
+        ended = self.site.quarantine.ended_incarnations(digest)
         if not ended or not is_lost(key):
             return
         entry = _Entry(sorted(ended), time.time())
@@ -278,7 +280,7 @@
 
     def clear(self, digest: str) -> bool:
         """Has all hosts forget a suspect; returns whether it was one."""
-        was_suspect = self.site.quarantine.note_well(digest, clock.now())
+        was_suspect = self.site.quarantine.record_success(digest, clock.now())
         if was_suspect or digest in self._stored:
             self._acquitted(digest)
         return was_suspect
@@ -300,7 +302,9 @@
         if digest in self._stored:
             self.tasks.start_soon(self._store, digest, b"")
 
-    def _convicted(self, digest: str, standing: quarantine.Standing) -> None:
+    def _convicted(
+        self, digest: str, standing: quarantine.QuarantineStatus
+    ) -> None:
         """Has all hosts know of a request, also those that start later."""
         _logger.warning(
             "request held",
@@ -311,7 +315,7 @@
                 "held_s": round(standing.held_s, 3),
             },
         )
-        ended = self.site.quarantine.ended_with(digest)
+        ended = self.site.quarantine.ended_incarnations(digest)
         entry = _Entry(sorted(ended), time.time())
         self._stored.add(digest)
         self.tasks.start_soon(self._store, digest, msgspec.json.encode(entry))
@@ -334,7 +338,9 @@
         """
         if notice.word is not work_notice.SuspectWord.TRIED:
             return True
-        return self.site.quarantine.is_tried(notice.digest, clock.now())
+        return self.site.quarantine.has_running_trial(
+            notice.digest, clock.now()
+        )
 
     async def _store(self, digest: str, value: bytes) -> None:
         """Writes a record, or removes it; hosts that hold it know it anyway."""
--- a/hillthread/state/targets/quarantine.py
+++ b/hillthread/state/targets/quarantine.py
@@ -22,10 +22,10 @@
 from typing import NamedTuple
 
 __all__ = [
-    "CONVICTED_ENDS",
-    "HELD_ENDS",
+    "CULPRIT_MIN_ENDS",
+    "HOLD_MIN_ENDS",
     "Quarantine",
-    "Standing",
+    "QuarantineStatus",
     "Suspect",
 ]
 
@@ -37,9 +37,9 @@
 _HOLDS_S = {2: 1.0, 3: 1.5, 4: 30.0, 5: 300.0}
 _LONGEST_HOLD_S = 1_800.0
 # With so many ends a request is held, and not sent again in the same try.
-HELD_ENDS = min(_HOLDS_S)
+HOLD_MIN_ENDS = min(_HOLDS_S)
 # From so many on it is the cause where others were open too.
-CONVICTED_ENDS = 3
+CULPRIT_MIN_ENDS = 3
 # A single end, and two, are forgotten after this time, more after an hour.
 _FORGET_FEW_S = 60.0
 _FORGET_S = 3_600.0
@@ -58,7 +58,7 @@
 _MOST_WELL = 2_048
 
 
-class Standing(NamedTuple):
+class QuarantineStatus(NamedTuple):
     """How a request stands.
 
     Attributes:
@@ -136,23 +136,23 @@
         self._expire_at = float("-inf")
 
     @property
-    def size(self) -> int:
+    def suspect_count(self) -> int:
         """How many suspects are known."""
         return len(self._records)
 
-    def standing(self, digest: str, now: float) -> Standing:
+    def status_of(self, digest: str, now: float) -> QuarantineStatus:
         """Returns whether a request may be sent, and how it is placed."""
         self._expire(now)
         record = self._records.get(digest)
         if record is None:
-            return Standing(self._pending(digest))
+            return QuarantineStatus(self._pending(digest))
         known = self._count(digest)
         ends = known + self._pending(digest)
-        if known < HELD_ENDS:
-            return Standing(ends)
+        if known < HOLD_MIN_ENDS:
+            return QuarantineStatus(ends)
         hold_s = _HOLDS_S.get(known, _LONGEST_HOLD_S)
         until = max(record.last_at + hold_s, record.trial_until)
-        return Standing(ends, max(0.0, until - now))
+        return QuarantineStatus(ends, max(0.0, until - now))
 
     def begin_trial(self, digest: str, now: float) -> None:
         """Notes that some host, this one or another, tries a suspect."""
@@ -160,30 +160,32 @@
         if record is not None:
             record.trial_until = now + _TRIAL_S
 
-    def is_tried(self, digest: str, now: float) -> bool:
+    def has_running_trial(self, digest: str, now: float) -> bool:
         """Returns whether some host tries a suspect at this moment."""
         record = self._records.get(digest)
         return record is not None and now < record.trial_until
 
-    def note_cut(self, digest: str, incarnation: int, now: float) -> None:
+    def record_disconnect(
+        self, digest: str, incarnation: int, now: float
+    ) -> None:
         """Notes a request whose connection to a target was cut.
 
         Until it is known whether the target has ended, it counts as an end for
         this host alone: the next target is not to follow at once.
         """
-        if self.is_well(digest, now):
+        if self.has_succeeded_recently(digest, now):
             return
         cut = self._cuts.setdefault(incarnation, _Cut(now))
         cut.at = now
         cut.digests.add(digest)
 
-    def refute(self, incarnation: int) -> None:
+    def mark_reachable(self, incarnation: int) -> None:
         """Notes that a target is there after connections to it were cut."""
         cut = self._cuts.get(incarnation)
         if cut is not None:
             cut.refuted = True
 
-    def confirm(self, incarnation: int, now: float) -> list[str]:
+    def confirm_end(self, incarnation: int, now: float) -> list[str]:
         """Notes that a target has ended.
 
         Returns:
@@ -196,10 +198,10 @@
         return [
             digest
             for digest in sorted(cut.digests)
-            if self.note_end(digest, incarnation, now)
+            if self.record_end(digest, incarnation, now)
         ]
 
-    def note_end(
+    def record_end(
         self, digest: str, incarnation: int, now: float, ago_s: float = 0.0
     ) -> bool:
         """Notes that a target ended while a request was open on it.
@@ -213,7 +215,7 @@
         Returns:
             Whether it counts: the request has not ended well lately.
         """
-        if self.is_well(digest, now):
+        if self.has_succeeded_recently(digest, now):
             return False
         record = self._records.setdefault(digest, _Record())
         if incarnation in record.ended:
@@ -225,7 +227,7 @@
         self._drop_oldest()
         return True
 
-    def note_well(self, digest: str, now: float) -> bool:
+    def record_success(self, digest: str, now: float) -> bool:
         """Notes that a request ended well, here or at another host.
 
         Returns:
@@ -239,7 +241,7 @@
             cut.digests.discard(digest)
         return self.clear(digest)
 
-    def is_well(self, digest: str, now: float) -> bool:
+    def has_succeeded_recently(self, digest: str, now: float) -> bool:
         """Returns whether a request ended well lately."""
         return now - self._well.get(digest, float("-inf")) < _WELL_S
 
@@ -255,7 +257,7 @@
                 del self._open_on[incarnation]
         return True
 
-    def ended_with(self, digest: str) -> frozenset[int]:
+    def ended_incarnations(self, digest: str) -> frozenset[int]:
         """Returns the incarnations that ended while a request was open."""
         record = self._records.get(digest)
         return frozenset(record.ended) if record else frozenset()
@@ -268,7 +270,7 @@
                 digest,
                 self._count(digest),
                 len(record.ended),
-                round(self.standing(digest, now).held_s, 3),
+                round(self.status_of(digest, now).held_s, 3),
                 round(now - record.last_at, 3),
             )
             for digest, record in self._records.items()
@@ -285,7 +287,7 @@
 
     def _is_explained(self, digest: str, incarnation: int, ends: int) -> bool:
         """Returns whether an end is that of another request."""
-        least = max(CONVICTED_ENDS, ends + 1)
+        least = max(CULPRIT_MIN_ENDS, ends + 1)
         return any(
             len(self._records[other].ended) >= least
             for other in self._open_on[incarnation]
@@ -307,7 +309,7 @@
             if now - cut.at > _CUT_KEPT_S:
                 del self._cuts[incarnation]
         for digest, record in list(self._records.items()):
-            is_few = len(record.ended) < CONVICTED_ENDS
+            is_few = len(record.ended) < CULPRIT_MIN_ENDS
             kept_s = _FORGET_FEW_S if is_few else _FORGET_S
             if now - record.last_at > kept_s:
                 self.clear(digest)
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -106,8 +106,8 @@
 
 
 def sends_on_what_ends_targets():
-    free = quarantine.Standing(0)
-    quarantine.Quarantine.standing = lambda self, digest, now: free
+    free = quarantine.QuarantineStatus(0)
+    quarantine.Quarantine.status_of = lambda self, digest, now: free
 
 
 def keeps_a_quota_on_each_host():
--- a/tests/coordination/gateway/serving/test_deadly_requests.py
+++ b/tests/coordination/gateway/serving/test_deadly_requests.py
@@ -138,7 +138,7 @@
     digest = request_digest.request_digest(
         "tenant-one", b"POST", scene_lib.HOST, b"/resume/one", request_body
     )
-    return host.site.quarantine.standing(digest, clock.now())
+    return host.site.quarantine.status_of(digest, clock.now())
 
 
 class DeadlyRequestTest(unittest.TestCase):
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -272,15 +272,15 @@
             quarantine = scene.site.quarantine
             now = clock.now()
             for incarnation in range(3):
-                quarantine.note_end("digest", incarnation, now)
-            standing = quarantine.standing("digest", now)
+                quarantine.record_end("digest", incarnation, now)
+            standing = quarantine.status_of("digest", now)
             scene.program.quarantine._convicted("digest", standing)
             key = host_registry.QUARANTINE_PREFIX + "digest"
             copy = scene.program.followers["keyed.hosts"].copy
             await scene.until(lambda: key in copy.newest)
             await restore(scene, backup)
             await scene.until(lambda: key in scene.store.values("keyed.hosts"))
-            self.assertEqual(quarantine.standing("digest", now).ends, 3)
+            self.assertEqual(quarantine.status_of("digest", now).ends, 3)
 
         play(story)
 
