--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -111,7 +111,7 @@
         text = response.headers.get("retry-after", "")
         seconds = headers_lib.parse_retry_after(text)
         if seconds:
-            self.fleet.backoffs.request(target, seconds, clock.now())
+            self.fleet.backoffs.apply(target, seconds, clock.now())
 
     def _check_epoch(
         self, epoch: warmth.Epoch | None, expected: Expectation
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -117,7 +117,7 @@
         self.decide = decide
         self.warmth = warmth.WarmthTable()
         self.loads: dict[str, load.TargetLoad] = {}
-        self.breakers: dict[str, health.Breaker] = {}
+        self.breakers: dict[str, health.CircuitBreaker] = {}
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
         self.departures = departures.Departures()
         self.backoffs = backoffs.Backoffs()
@@ -314,7 +314,7 @@
         """Has a target's breaker follow the bounds now in force."""
         breaker = self.breakers.get(name)
         if breaker is None:
-            breaker = health.Breaker(pool.eject_after, pool.eject_s)
+            breaker = health.CircuitBreaker(pool.eject_after, pool.eject_s)
             self.breakers[name] = breaker
         breaker.eject_after = pool.eject_after
         breaker.eject_s = pool.eject_s
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -174,7 +174,7 @@
         breaker = self.fleet.breakers[target.name]
         try:
             await self._run(expected)
-            breaker.succeed()
+            breaker.record_success()
             return None
         except target_client.AttemptError as error:
             self._note_failure(expected, error)
@@ -285,7 +285,7 @@
         self.weights_version = attempt.weights_version or self.weights_version
         name = expected.target.name
         if error.targets_fault:
-            self.fleet.breakers[name].fail(clock.now())
+            self.fleet.breakers[name].record_failure(clock.now())
         epoch = self.fleet.warmth.targets[name].epoch
         if error.state is records.AttemptState.REFUSED and (
             epoch != expected.epoch
@@ -301,7 +301,7 @@
         attempt = expected.attempt
         attempt.ended_s = self.exchange.elapsed()
         self._learn(attempt)
-        self.fleet.breakers[expected.target.name].release()
+        self.fleet.breakers[expected.target.name].cancel_probe()
         self.forwarder.gate.release(attempt.attempt_id)
         self.forwarder.metrics.attempts.labels(
             expected.target.name, attempt.state.value
--- a/hillthread/coordination/gateway/orders/rollout_keeper.py
+++ b/hillthread/coordination/gateway/orders/rollout_keeper.py
@@ -148,7 +148,7 @@
         return {
             name
             for name, state in self.site.states.items()
-            if state.unreachable
+            if state.is_unreachable
             or state.breaker.state(now) is health.BreakerState.OPEN
         }
 
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -111,7 +111,7 @@
 
     def _release(self, now: float, seconds: float | None) -> None:
         self.noted = True
-        self.state.first_byte(now, self.planned.attempt, seconds)
+        self.state.record_first_byte(now, self.planned.attempt, seconds)
 
 
 class Learner:
@@ -161,14 +161,14 @@
             self._learn_weights(attempt)
         story = attempt.request.story
         fields = _log_fields(attempt, kind, now - started)
-        fields["beside"] = state.running - 1
+        fields["beside"] = state.open_attempts - 1
         match result:
             case outcome_lib.Unsent(reason):
                 self.monitor.note_unreachable(attempt.plan.target, reason)
                 story.warn("attempt", reason=reason, **fields)
             case outcome_lib.Lost(reason) | outcome_lib.Broken(reason):
                 # What was ended here tells nothing of the target.
-                ejected = not attempt.given_up and state.fail(now)
+                ejected = not attempt.given_up and state.record_failure(now)
                 self.metrics.mismatches.labels(reason[:_MAX_REASON]).inc()
                 story.warn("attempt", reason=reason, ejected=ejected, **fields)
             case outcome_lib.NotRun(status):
@@ -176,10 +176,10 @@
                     self._learn_refusal(attempt.plan, state, result, now)
                 story.warn("attempt", status=status, **fields)
             case outcome_lib.Whole(whole) if whole.head.status >= 500:
-                state.fail(now)
+                state.record_failure(now)
                 story.warn("attempt", status=whole.head.status, **fields)
             case outcome_lib.Whole() | outcome_lib.Relayed():
-                state.succeed()
+                state.record_success()
                 story.note("attempt", **fields)
             case None:
                 story.warn("attempt", **fields)
@@ -204,11 +204,11 @@
         """Takes in why a target did not run a request."""
         name = plan.target.name
         if refusal.status != 421:
-            state.refuse(now + _SPARE_S)
+            state.record_refusal(now + _SPARE_S)
             return
         if refusal.meaning.incarnation not in ("", name):
             # Another target has the address: this one is gone.
-            state.lose(now)
+            state.record_unreachable(now)
             self.quarantine.target_ended(name, "another has its address")
             return
         if plan.weights_version is None:
--- a/hillthread/coordination/gateway/serving/pool_view.py
+++ b/hillthread/coordination/gateway/serving/pool_view.py
@@ -95,7 +95,7 @@
             name,
             target.data_centre,
             self._exclusion(name, state, lag),
-            state.running,
+            state.open_attempts,
             lag is not None and lag.grace is not weights_lib.WeightsGrace.FREE,
             self.pool.has_idle(target.address),
             expected,
@@ -109,7 +109,9 @@
         Of other hosts' work it knows what waits to be read.
         """
         state = self.site.state(name)
-        return not state.running and not state.load.queued_tokens(self.now)
+        return not state.open_attempts and not state.load.queued_tokens(
+            self.now
+        )
 
     def expected(self, name: str) -> first_byte.Estimate:
         """Returns the estimate of a target that was looked at."""
@@ -171,7 +173,7 @@
         expected: first_byte.Estimate,
     ) -> weights_lib.WeightsLag | None:
         """Returns how a target's weights lag when a request starts there."""
-        waits_s = max(state.seconds, expected.queue_s)
+        waits_s = max(state.first_byte_s, expected.queue_s)
         starts_at = self.now + min(waits_s, _LONGEST_WAIT_S)
         return self.site.weights.lag(name, self.model, starts_at)
 
@@ -184,7 +186,7 @@
         """Returns why a target cannot be taken, or None."""
         if name in self.tried:
             return target_choice.Exclusion.TRIED
-        if state.unreachable:
+        if state.is_unreachable:
             return target_choice.Exclusion.UNREACHABLE
         if self.now < state.loading_until:
             return target_choice.Exclusion.LOADING
--- a/hillthread/coordination/gateway/serving/reach_monitor.py
+++ b/hillthread/coordination/gateway/serving/reach_monitor.py
@@ -112,9 +112,9 @@
     def note_unreachable(self, target: objects.Target, reason: str) -> None:
         """Excludes a target to which no connection succeeds."""
         state = self.site.state(target.name)
-        if state.unreachable:
+        if state.is_unreachable:
             return
-        state.unreachable = True
+        state.is_unreachable = True
         self._pause_s[target.name] = _RETRY_S
         self._retry_at[target.name] = 0.0  # at once: a packet may be lost
         _logger.warning(
@@ -177,7 +177,7 @@
         await self.pool.give_back(connection)
         if target.name in self._retry_at:
             self._forget(target.name)
-            self.site.state(target.name).unreachable = False
+            self.site.state(target.name).is_unreachable = False
             _logger.info(
                 "target can be reached",
                 extra={"event": "target_reachable", "target": target.name},
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -182,7 +182,7 @@
         name = planned.plan.target.name
         if sending.is_suspect:
             self.tools.chooser.suspects_on[name] += 1
-        sending.state.begin(
+        sending.state.begin_attempt(
             sending.first_byte.started,
             planned.attempt,
             planned.estimate.read_tokens,
@@ -217,7 +217,7 @@
         if attempt.cut:
             # Whether the target has ended decides what may follow.
             self.tools.monitor.find_out(target)
-        sending.state.end(sending.planned.attempt)
+        sending.state.end_attempt(sending.planned.attempt)
         if sending.is_suspect:
             self.tools.chooser.part_suspect(target.name)
 
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -136,7 +136,7 @@
 
     def request_backoff(self, name: str, seconds: float, now: float) -> None:
         """Sends a target nothing for the time for which it sheds load."""
-        if not self.backoffs.request(name, seconds, now):
+        if not self.backoffs.apply(name, seconds, now):
             return
         _logger.info(
             "target backs off",
@@ -149,7 +149,7 @@
 
     def unavailable_targets(self, now: float) -> list[TargetStatus]:
         """Returns the listed targets that leave or back off, by name."""
-        active = self.backoffs.active(now)
+        active = self.backoffs.remaining_s(now)
         leaving = self.targets.leaving
         names = self.targets.entries.keys() & (leaving | active.keys())
         return [
--- a/hillthread/state/targets/backoffs.py
+++ b/hillthread/state/targets/backoffs.py
@@ -11,7 +11,7 @@
     def __init__(self):
         self._ends_at: dict[str, float] = {}
 
-    def request(self, target: str, seconds: float, now: float) -> bool:
+    def apply(self, target: str, seconds: float, now: float) -> bool:
         """Applies a back-off; one that ends later stays.
 
         Args:
@@ -39,7 +39,7 @@
         """Ends the back-off of a target that has started again."""
         self._ends_at.pop(target, None)
 
-    def active(self, now: float) -> dict[str, float]:
+    def remaining_s(self, now: float) -> dict[str, float]:
         """Returns the seconds left by target, and drops what has ended."""
         self._ends_at = {
             target: ends_at
--- a/hillthread/state/targets/health.py
+++ b/hillthread/state/targets/health.py
@@ -4,7 +4,7 @@
 
 import enum
 
-__all__ = ["Breaker", "BreakerState"]
+__all__ = ["CircuitBreaker", "BreakerState"]
 
 # Ejections last at most this many times the first one.
 _MAX_EJECT_FACTOR = 8
@@ -18,7 +18,7 @@
     HALF_OPEN = "half_open"
 
 
-class Breaker:
+class CircuitBreaker:
     """Ejects a target after consecutive failures, then probes it.
 
     While half open it admits one request; its result closes or reopens the
@@ -35,35 +35,35 @@
         self.failures = 0
         self.ejections = 0
         self.open_until = 0.0
-        self.probing = False
+        self.is_probing = False
 
     def state(self, now: float) -> BreakerState:
         """Returns the state at `now`, seconds."""
         if self.ejections == 0:
             return BreakerState.CLOSED
-        if now < self.open_until or self.probing:
+        if now < self.open_until or self.is_probing:
             return BreakerState.OPEN
         return BreakerState.HALF_OPEN
 
     def admit(self, now: float) -> None:
         """Notes that a request is sent; the only one while half open."""
         if self.state(now) is BreakerState.HALF_OPEN:
-            self.probing = True
+            self.is_probing = True
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Notes that the target answered as it should."""
         self.failures = 0
         self.ejections = 0
-        self.probing = False
+        self.is_probing = False
 
-    def release(self) -> None:
+    def cancel_probe(self) -> None:
         """Notes that a request ended without telling of the target."""
-        self.probing = False
+        self.is_probing = False
 
-    def fail(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Notes a failure that is the target's."""
         self.failures += 1
-        if not self.probing and self.failures < self.eject_after:
+        if not self.is_probing and self.failures < self.eject_after:
             return
         self.trip(now)
 
@@ -71,7 +71,7 @@
         """Ejects the target at once; one that is ejected stays so."""
         if now < self.open_until:
             return
-        self.probing = False
+        self.is_probing = False
         factor = min(2**self.ejections, _MAX_EJECT_FACTOR)
         self.open_until = now + self.eject_s * factor
         self.ejections += 1
--- a/hillthread/state/targets/target_state.py
+++ b/hillthread/state/targets/target_state.py
@@ -43,31 +43,33 @@
     """
 
     def __init__(self):
-        self.breaker = health.Breaker(_EJECT_AFTER, _EJECT_S)
-        self.running = 0
+        self.breaker = health.CircuitBreaker(_EJECT_AFTER, _EJECT_S)
+        self.open_attempts = 0
         self.load = load.TargetLoad(_FIRST_RATE)
         self.warm = warm_prefixes.WarmPrefixes()
         self.refused_until = float("-inf")
         self.loading_until = float("-inf")
-        self.unreachable = False
-        self.seconds = 0.0
+        self.is_unreachable = False
+        self.first_byte_s = 0.0
         self._recent: collections.deque[bool] = collections.deque(
             maxlen=_RECENT
         )
 
-    def accepts(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Returns whether it may be given a request."""
-        if self.unreachable or now < self.refused_until:
+        if self.is_unreachable or now < self.refused_until:
             return False
         return self.breaker.state(now) is not health.BreakerState.OPEN
 
-    def begin(self, now: float, attempt: str, prefill_tokens: int) -> None:
+    def begin_attempt(
+        self, now: float, attempt: str, prefill_tokens: int
+    ) -> None:
         """Notes an attempt that is about to be sent."""
         self.breaker.admit(now)
-        self.running += 1
+        self.open_attempts += 1
         self.load.start(attempt, load.OwnWork(now, prefill_tokens))
 
-    def first_byte(
+    def record_first_byte(
         self, now: float, attempt: str, seconds: float | None
     ) -> None:
         """Notes that an attempt's answer has begun.
@@ -80,21 +82,21 @@
         self.load.first_token(attempt, now)
         if seconds is None:
             return
-        step = _LATENCY_STEP if self.seconds else 1.0
-        self.seconds += step * (seconds - self.seconds)
+        step = _LATENCY_STEP if self.first_byte_s else 1.0
+        self.first_byte_s += step * (seconds - self.first_byte_s)
 
-    def end(self, attempt: str) -> None:
+    def end_attempt(self, attempt: str) -> None:
         """Notes that an attempt has ended in any way."""
-        self.running -= 1
+        self.open_attempts -= 1
         self.load.finish(attempt)
-        self.breaker.release()
+        self.breaker.cancel_probe()
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Notes an answer as it should be."""
         self._recent.append(True)
-        self.breaker.succeed()
+        self.breaker.record_success()
 
-    def refuse(self, until: float) -> None:
+    def record_refusal(self, until: float) -> None:
         """Notes that it refused work, without fault."""
         self.refused_until = max(self.refused_until, until)
 
@@ -106,7 +108,7 @@
         """Notes that it does not load weights any more."""
         self.loading_until = float("-inf")
 
-    def fail(self, now: float) -> bool:
+    def record_failure(self, now: float) -> bool:
         """Notes a failure that is the target's.
 
         Returns:
@@ -118,9 +120,9 @@
             self._recent.clear()
             self.breaker.trip(now)
         else:
-            self.breaker.fail(now)
+            self.breaker.record_failure(now)
         return self.breaker.ejections > before
 
-    def lose(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Notes that it cannot be reached."""
         self.breaker.trip(now)
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -123,7 +123,7 @@
 
 
 def ignores_backoffs():
-    backoffs.Backoffs.request = lambda self, target, seconds, now: False
+    backoffs.Backoffs.apply = lambda self, target, seconds, now: False
 
 
 def ignores_the_era_of_the_store():
--- a/tests/coordination/gateway/orders/test_old_weights.py
+++ b/tests/coordination/gateway/orders/test_old_weights.py
@@ -124,7 +124,7 @@
                 engine.behave(standin.Refuse())
                 await scene.call(scene.prompt("/stream/x"))
                 await anyio.sleep(0.2)
-            self.assertGreaterEqual(scene.site.state("e0").seconds, 0.6)
+            self.assertGreaterEqual(scene.site.state("e0").first_byte_s, 0.6)
 
         scene_lib.play(story, engines=1)
 
@@ -158,13 +158,13 @@
                         tasks.start_soon(scene.call, scene.prompt("/stream/x"))
             named_at = time.monotonic() - 8.9
             scene.site.weights.name("m", 2, named_at, named_at)
-            scene.site.state("e0").seconds = 0.0
+            scene.site.state("e0").first_byte_s = 0.0
             engine.behave(*[standin.Queue(1.5)] * connections)
             async with anyio.create_task_group() as tasks:
                 for _ in range(connections):
                     tasks.start_soon(scene.call, scene.prompt("/stream/x"))
             state = scene.site.state("e0")
-            self.assertTrue(state.accepts(time.monotonic()))
+            self.assertTrue(state.is_available(time.monotonic()))
             self.assertGreater(scene.program.pool.trust_s, 1.0)
 
         scene_lib.play(story, engines=1)
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -379,7 +379,7 @@
             for _ in range(40):
                 await scene.call(scene.request("/again/x"))
                 for target in scene.plain:
-                    scene.site.state(target.name).succeed()
+                    scene.site.state(target.name).record_success()
             # 40 requests, a fifth of them, and this host's part of the extra.
             self.assertLessEqual(len(scene.runs()), 40 + 8 + 50 / 8)
 
--- a/tests/coordination/gateway/serving/test_explaining.py
+++ b/tests/coordination/gateway/serving/test_explaining.py
@@ -284,7 +284,7 @@
                 answer = await scene.call(scene.request("/again/x"))
                 self.assertEqual(answer.head.status, 500)
                 for target in scene.plain:
-                    scene.site.state(target.name).succeed()
+                    scene.site.state(target.name).record_success()
 
         scene_lib.play(story)
         self.assertGreater(handler.dropped, 0)
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -54,7 +54,7 @@
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             state = scene.site.state("moved")
-            self.assertTrue(state.unreachable)
+            self.assertTrue(state.is_unreachable)
             target.name = "moved"
             again = http1_server.Server(
                 address,
@@ -63,7 +63,7 @@
                 target.server.refused,
             )
             scene.tasks.start_soon(again.serve)
-            await scene.until(lambda: not state.unreachable)
+            await scene.until(lambda: not state.is_unreachable)
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 200)
 
@@ -184,7 +184,7 @@
                     scene.site.targets.entries[silent.name].target, "the test"
                 )
                 await scene.until(lambda: give_up.called)
-            self.assertTrue(state.unreachable)
+            self.assertTrue(state.is_unreachable)
             released.set()
             await scene.until(lambda: answers)
             event = scene.engines[0].event
--- a/tests/coordination/gateway/test_restarts.py
+++ b/tests/coordination/gateway/test_restarts.py
@@ -152,15 +152,15 @@
 
     def test_what_was_learned_of_the_earlier_start_is_forgotten(self):
         state = self.site.state("e")
-        state.lose(0.0)
-        state.unreachable = True
+        state.record_unreachable(0.0)
+        state.is_unreachable = True
         state.refused_until = 1e9
         self.site.observe_weights("e", "m", 9)
         self.site.note_prompt("e", self.notice(1_000))
         self.site.put_target("e", _encode(born=2_000))
         state = self.site.state("e")
         self.assertIs(state.breaker.state(0.0), health.BreakerState.CLOSED)
-        self.assertTrue(state.accepts(0.0))
+        self.assertTrue(state.is_available(0.0))
         self.assertEqual(len(state.warm), 0)
         self.assertEqual(self.site.weights.held("e", "m"), 3)
 
@@ -182,7 +182,7 @@
         self.assertEqual(self.site.weights.held("e", "m"), 3)
 
     def test_report_of_a_later_start_is_believed_before_the_list(self):
-        self.site.state("e").lose(0.0)
+        self.site.state("e").record_unreachable(0.0)
         report = targets.decode_report(
             msgspec.json.encode(
                 {"models": [{"name": "m", "version": 5}], "born": 2_000}
@@ -190,7 +190,7 @@
         )
         self.assertTrue(self.site.take_report("e", "m", report))
         self.assertEqual(self.site.weights.held("e", "m"), 5)
-        self.assertTrue(self.site.state("e").accepts(0.0))
+        self.assertTrue(self.site.state("e").is_available(0.0))
         self.site.put_target("e", _encode(state="draining"))  # late
         self.assertFalse(self.site.targets.entries["e"].leaving)
 
--- a/tests/coordination/test_fleet.py
+++ b/tests/coordination/test_fleet.py
@@ -62,7 +62,7 @@
         self.assertEqual(
             self.exclusion(plain, tried=tried), exclusions.ALREADY_TRIED
         )
-        self.fleet.breakers["t0"].fail(0.0)
+        self.fleet.breakers["t0"].record_failure(0.0)
         self.assertEqual(self.exclusion(plain), exclusions.EJECTED)
 
     def test_leaving_is_sticky_until_another_incarnation_is_live(self):
--- a/tests/state/routing/test_load_of_others.py
+++ b/tests/state/routing/test_load_of_others.py
@@ -75,7 +75,7 @@
         number += 1
         for host, name, attempt, done_at in reading:
             if done_at <= now:
-                host[name].first_byte(done_at, attempt, None)
+                host[name].record_first_byte(done_at, attempt, None)
         reading = [each for each in reading if each[3] > now]
         own = min(39_600, int(draw.lognormvariate(0.0, 0.8) * OWN_MEAN * 0.73))
         prefix = str(int(PREFIXES * draw.random() ** 1.3))
@@ -88,7 +88,7 @@
             "",
         )
         expected = _view(host, choice.name, prefix, own, now).expected
-        host[choice.name].begin(now, str(number), expected.read_tokens)
+        host[choice.name].begin_attempt(now, str(number), expected.read_tokens)
         for each in hosts if told else [host]:
             state = each[choice.name]
             state.warm.note("", [(prefix, SHARED)], own, MEMORY)
--- a/tests/state/targets/test_announcements_at_size.py
+++ b/tests/state/targets/test_announcements_at_size.py
@@ -124,7 +124,7 @@
         if host.life != life or now < host.frozen_until:
             return
         self.refused.append((host, life, target, now))
-        host.backoffs.request(target, self.backoff_s, now)
+        host.backoffs.apply(target, self.backoff_s, now)
 
     def announce(self, now, host, life, target):
         """Has a host apply a departure, and notify the others."""
