--- a/hillthread/coordination/gateway/orders/rollout_keeper.py
+++ b/hillthread/coordination/gateway/orders/rollout_keeper.py
@@ -128,7 +128,7 @@
         board = self.site.weights
         waves = [
             _Wave(model, self.site.targets.members(pool))
-            for model in board.named
+            for model in board.newest
             for pool in table.pools_serving(model)
         ]
         return [
--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -102,7 +102,7 @@
                 "target": target.name,
                 "model": model,
                 "version": self._newest(model),
-                "held": self.site.weights.held(target.name, model),
+                "held": self.site.weights.held_version(target.name, model),
                 "outcome": end,
                 "reason": reason,
                 "seconds": round(clock.now() - started, 3),
@@ -139,7 +139,7 @@
         self, target: objects.Target, model: str, born_ms: int, loading: bool
     ) -> None:
         """Tells all hosts whether an engine loads, and what it holds."""
-        version = self.site.weights.held(target.name, model) or 0
+        version = self.site.weights.held_version(target.name, model) or 0
         if loading:
             version = self._newest(model)
         self.work.tell_weights(
@@ -289,8 +289,8 @@
         return rollout.LoadEnd.OVERTAKEN
 
     def _holds_newest(self, target: objects.Target, model: str) -> bool:
-        held = self.site.weights.held(target.name, model) or 0
+        held = self.site.weights.held_version(target.name, model) or 0
         return held >= self._newest(model)
 
     def _newest(self, model: str) -> int:
-        return self.site.weights.named[model].version
+        return self.site.weights.newest[model].version
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -235,7 +235,11 @@
     ) -> Planned:
         target = entry.target
         model = request.prompt.model
-        version = self.site.weights.held(target.name, model) if model else None
+        version = (
+            self.site.weights.held_version(target.name, model)
+            if model
+            else None
+        )
         plan = attempt_plan.AttemptPlan(
             target,
             request.tenant_name,
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -214,7 +214,7 @@
         if plan.weights_version is None:
             return
         board = self.site.weights
-        is_guess = board.refute(name, plan.model, plan.weights_version)
+        is_guess = board.reject_version(name, plan.model, plan.weights_version)
         if is_guess and board.is_behind(name, plan.model):
             self.monitor.tasks.start_soon(
                 self._ask_weights, plan.target, plan.model
--- a/hillthread/coordination/gateway/serving/pool_view.py
+++ b/hillthread/coordination/gateway/serving/pool_view.py
@@ -152,7 +152,7 @@
 
     def _scope(self, name: str) -> str:
         """Returns within which a target finds parts of the prompt again."""
-        version = self.site.weights.held(name, self.model)
+        version = self.site.weights.held_version(name, self.model)
         return attempt_plan.cache_scope(
             self.request.organisation, self.model, version
         )
--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -123,7 +123,9 @@
         named = configuration_lib.decode_weights(payload)
         now = clock.now()
         not_before = self.freshness.proven_at
-        if self.weights.name(named.model, named.version, now, not_before):
+        if self.weights.record_announcement(
+            named.model, named.version, now, not_before
+        ):
             self.weights_named.set()
             self.weights_named = anyio.Event()
             _logger.info(
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -67,7 +67,7 @@
         self.targets = target_list.TargetList(_RETURN_S)
         self.states: dict[str, target_state.TargetState] = {}
         self.backoffs = backoffs.Backoffs()
-        self.weights = weights.WeightsBoard()
+        self.weights = weights.WeightsTracker()
         self.load_told_at = float("-inf")
         self.target_gone: Callable[[str], None] = _ignore
         self.target_forgotten: Callable[[str], None] = _ignore
@@ -100,7 +100,7 @@
         if change is target_list.TargetChange.COME:
             self._note_successor(entry)
         for model, version in entry.weights.items():
-            self.weights.list_target(incarnation, model, version)
+            self.weights.update_from_list(incarnation, model, version)
         self._note_target(incarnation, change)
 
     def remove_target(self, incarnation: str, now: float) -> None:
@@ -161,7 +161,7 @@
         self, incarnation: str, model: str, version: int
     ) -> None:
         """Takes in the weights version that a target said it holds."""
-        if self.weights.observe(incarnation, model, version):
+        if self.weights.update_from_answer(incarnation, model, version):
             self.state(incarnation).warm.clear()
             _logger.info(
                 "target has weights",
@@ -193,7 +193,7 @@
         if report.is_leaving:
             self.mark_leaving(name, "report")
         if model in report.weights:
-            self.weights.report(name, model, report.weights[model])
+            self.weights.update_from_report(name, model, report.weights[model])
         return True
 
     def take_notice(self, notice: work_notice.WorkNotice, now: float) -> None:
@@ -245,9 +245,9 @@
             "weights_named": {
                 model: {
                     "version": named.version,
-                    "age_s": round(now - named.known_at, 3),
+                    "age_s": round(now - named.learned_at, 3),
                 }
-                for model, named in self.weights.named.items()
+                for model, named in self.weights.newest.items()
             },
             "weights_behind": {
                 f"{target} {model}": lag.held
--- a/hillthread/state/targets/rollout.py
+++ b/hillthread/state/targets/rollout.py
@@ -117,7 +117,7 @@
         self,
         members: Sequence[target_list.ListedTarget],
         model: str,
-        board: weights_lib.WeightsBoard,
+        board: weights_lib.WeightsTracker,
         lost: Collection[str],
         now: float,
     ) -> list[target_list.ListedTarget]:
@@ -239,7 +239,7 @@
         self,
         entry: target_list.ListedTarget,
         model: str,
-        board: weights_lib.WeightsBoard,
+        board: weights_lib.WeightsTracker,
         now: float,
     ) -> tuple[bool, int]:
         """Returns a key that sorts the most urgent first.
@@ -249,7 +249,7 @@
         target = entry.target.name
         setback = self._setbacks.get(target)
         waits = setback is not None and now < setback.until
-        return waits, board.held(target, model) or 0
+        return waits, board.held_version(target, model) or 0
 
     def _set_back(self, target: str, now: float, lost: bool) -> None:
         before = self._setbacks.get(target)
@@ -271,13 +271,13 @@
 def targets_behind(
     entries: Sequence[target_list.ListedTarget],
     model: str,
-    board: weights_lib.WeightsBoard,
+    board: weights_lib.WeightsTracker,
 ) -> list[target_list.ListedTarget]:
     """Returns the targets that hold older weights than named, in order.
 
     A target of the pool that does not list the model does not serve it.
     """
-    named = board.named.get(model)
+    named = board.newest.get(model)
     if named is None:
         return []
     behind = {
--- a/hillthread/state/targets/weights.py
+++ b/hillthread/state/targets/weights.py
@@ -5,7 +5,7 @@
 import enum
 from typing import NamedTuple
 
-__all__ = ["NamedWeights", "WeightsBoard", "WeightsGrace", "WeightsLag"]
+__all__ = ["AnnouncedWeights", "WeightsTracker", "WeightsGrace", "WeightsLag"]
 
 # Starts on older weights cost nothing for 1.5 s after newer ones were named
 # (pages); a margin is left for the way of the request.
@@ -34,7 +34,7 @@
     FORBIDDEN = "forbidden"
 
 
-class NamedWeights(NamedTuple):
+class AnnouncedWeights(NamedTuple):
     """Weights of a model that were named.
 
     Attributes:
@@ -45,7 +45,7 @@
     """
 
     version: int
-    known_at: float
+    learned_at: float
     not_before: float
 
 
@@ -72,7 +72,7 @@
     model: str
 
 
-class WeightsBoard:
+class WeightsTracker:
     """What one host knows of weights.
 
     Each version has a time of its own: a target that missed several is judged
@@ -86,13 +86,13 @@
 
     def __init__(self, limit_s: float = _DEFAULT_LIMIT_S):
         self.limit_s = limit_s
-        self.named: dict[str, NamedWeights] = {}
-        self._series: dict[str, list[NamedWeights]] = {}
+        self.newest: dict[str, AnnouncedWeights] = {}
+        self._series: dict[str, list[AnnouncedWeights]] = {}
         self._held: dict[_Key, int] = {}
         self._listed: dict[_Key, int] = {}
         self._refuted: dict[_Key, set[int]] = {}
 
-    def name(
+    def record_announcement(
         self,
         model: str,
         version: int,
@@ -108,15 +108,15 @@
             not_before: Seconds, up to when it is proven that they were not
                 named yet.
         """
-        before = self.named.get(model)
+        before = self.newest.get(model)
         if before is not None and before.version >= version:
             return False
-        named = NamedWeights(version, now, not_before)
-        self.named[model] = named
+        named = AnnouncedWeights(version, now, not_before)
+        self.newest[model] = named
         self._series[model] = [*self._unexpired(model, now), named]
         return True
 
-    def _unexpired(self, model: str, now: float) -> list[NamedWeights]:
+    def _unexpired(self, model: str, now: float) -> list[AnnouncedWeights]:
         """Returns the versions whose times still differ.
 
         Of those whose time is over the newest stands for all: whatever is
@@ -126,13 +126,13 @@
         over = [each for each in series if now >= self._forbidden_at(each)]
         return over[-1:] + series[len(over) :]
 
-    def _forbidden_at(self, named: NamedWeights) -> float:
+    def _forbidden_at(self, named: AnnouncedWeights) -> float:
         """Returns from when on nothing may start on weights before these."""
         proven_at = named.not_before + self.limit_s - _START_MARGIN_S
         late_s = min(_LATE_S, self.limit_s * _LATE_SHARE)
-        return max(proven_at, named.known_at + late_s)
+        return max(proven_at, named.learned_at + late_s)
 
-    def list_target(self, target: str, model: str, version: int) -> None:
+    def update_from_list(self, target: str, model: str, version: int) -> None:
         """Takes in what the platform lists.
 
         The list lags behind answers: only a changed entry counts.
@@ -143,7 +143,7 @@
         self._listed[key] = version
         self._hold(key, version)
 
-    def observe(self, target: str, model: str, version: int) -> bool:
+    def update_from_answer(self, target: str, model: str, version: int) -> bool:
         """Takes in the version that an answer told; returns whether it is news.
 
         Answers begin at any time, and may tell what was before a load: only a
@@ -155,7 +155,7 @@
         self._hold(key, version)
         return True
 
-    def report(self, target: str, model: str, version: int) -> None:
+    def update_from_report(self, target: str, model: str, version: int) -> None:
         """Takes in the version that a target reports of itself."""
         self._hold(_Key(target, model), version)
 
@@ -165,16 +165,16 @@
             for key in [key for key in told if key.target == target]:
                 del told[key]
 
-    def held(self, target: str, model: str) -> int | None:
+    def held_version(self, target: str, model: str) -> int | None:
         """Returns the version a target holds, or None when not known."""
         return self._held.get(_Key(target, model))
 
     def is_behind(self, target: str, model: str) -> bool:
         """Returns whether a target is not known to hold the newest weights."""
-        named = self.named.get(model)
+        named = self.newest.get(model)
         if named is None:
             return False
-        held = self.held(target, model)
+        held = self.held_version(target, model)
         return held is None or held < named.version
 
     def lag(
@@ -189,7 +189,7 @@
         """
         if not self.is_behind(target, model):
             return None
-        held = self.held(target, model)
+        held = self.held_version(target, model)
         first = next(
             named
             for named in self._series[model]
@@ -198,7 +198,7 @@
         return WeightsLag(
             held,
             first.version,
-            starts_at - first.known_at,
+            starts_at - first.learned_at,
             self._grace(first, starts_at),
             self._forbidden_at(first) + _BEGIN_MARGIN_S,
         )
@@ -208,17 +208,17 @@
         lags = {key: self.lag(*key, now) for key in self._listed}
         return {key: lag for key, lag in lags.items() if lag is not None}
 
-    def _grace(self, named: NamedWeights, starts_at: float) -> WeightsGrace:
+    def _grace(self, named: AnnouncedWeights, starts_at: float) -> WeightsGrace:
         """Returns how starts on weights before these are looked at."""
         if starts_at >= self._forbidden_at(named):
             return WeightsGrace.FORBIDDEN
-        if named.known_at - named.not_before > _LONGEST_UNPROVEN_S:
+        if named.learned_at - named.not_before > _LONGEST_UNPROVEN_S:
             return WeightsGrace.COSTLY
-        if starts_at - named.known_at > _FREE_S:
+        if starts_at - named.learned_at > _FREE_S:
             return WeightsGrace.COSTLY
         return WeightsGrace.FREE
 
-    def refute(self, target: str, model: str, version: int) -> bool:
+    def reject_version(self, target: str, model: str, version: int) -> bool:
         """Takes in that a target does not hold the version it was thought to.
 
         It holds what it listed last if that is older than what it was thought
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -102,7 +102,7 @@
     def never(self, named):
         return float("inf")
 
-    weights.WeightsBoard._forbidden_at = never
+    weights.WeightsTracker._forbidden_at = never
 
 
 def sends_on_what_ends_targets():
--- a/tests/coordination/gateway/orders/test_old_weights.py
+++ b/tests/coordination/gateway/orders/test_old_weights.py
@@ -69,7 +69,7 @@
             scene.name_weights(2)
             await _wait_until(named_at + 3.0)
             scene.store.faults.silent = False
-            await scene.until(lambda: "m" in scene.site.weights.named)
+            await scene.until(lambda: "m" in scene.site.weights.newest)
             await _wait_until(named_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
@@ -80,7 +80,7 @@
             engine = scene.engines[0]
             engine.order_status = 409
             scene.name_weights(2)
-            await scene.until(lambda: "m" in scene.site.weights.named)
+            await scene.until(lambda: "m" in scene.site.weights.newest)
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
             self.assertEqual([run.weights for run in engine.runs], [1])
@@ -94,7 +94,7 @@
             named_at = time.monotonic()
             scene.name_weights(2)
             time.sleep(6.0)  # noqa: ASYNC251 (nothing runs meanwhile)
-            await scene.until(lambda: "m" in scene.site.weights.named)
+            await scene.until(lambda: "m" in scene.site.weights.newest)
             await _wait_until(named_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
@@ -105,7 +105,7 @@
             engine = scene.engines[0]
             engine.order_status = 409
             now = time.monotonic()
-            scene.site.weights.name("m", 2, now - 7.0, now - 7.0)
+            scene.site.weights.record_announcement("m", 2, now - 7.0, now - 7.0)
             engine.behave(standin.Queue(1.5))
             first = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(first.head.status, 200)
@@ -136,7 +136,9 @@
                     engine = scene.engines[0]
                     engine.order_status = 409
                     named_at = time.monotonic() - 8.9
-                    scene.site.weights.name("m", 2, named_at, named_at)
+                    scene.site.weights.record_announcement(
+                        "m", 2, named_at, named_at
+                    )
                     engine.behave(standin.Queue(1.5))
                     answer = await scene.call(scene.prompt(path))
                     self.assertEqual(answer.head.status, 502)
@@ -157,7 +159,7 @@
                     for _ in range(connections):
                         tasks.start_soon(scene.call, scene.prompt("/stream/x"))
             named_at = time.monotonic() - 8.9
-            scene.site.weights.name("m", 2, named_at, named_at)
+            scene.site.weights.record_announcement("m", 2, named_at, named_at)
             scene.site.state("e0").first_byte_s = 0.0
             engine.behave(*[standin.Queue(1.5)] * connections)
             async with anyio.create_task_group() as tasks:
@@ -175,10 +177,10 @@
             # Another host has the duty of orders, and asks for reports.
             scene.program.rollout.duty.take = mock.AsyncMock(return_value=False)
             engine.weights = 2
-            held = scene.site.weights.held
-            scene.site.weights.observe("e0", "m", 2)
+            held = scene.site.weights.held_version
+            scene.site.weights.update_from_answer("e0", "m", 2)
             long_ago = time.monotonic() - 60.0
-            scene.site.weights.name("m", 2, long_ago, long_ago)
+            scene.site.weights.record_announcement("m", 2, long_ago, long_ago)
             engine.behave(standin.Refuse(421))
             first = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(first.head.status, 503)
@@ -194,7 +196,7 @@
             scene.engines[0].order_status = 409
             named_at = time.monotonic()
             scene.name_weights(2)
-            await scene.until(lambda: "m" in scene.site.weights.named)
+            await scene.until(lambda: "m" in scene.site.weights.newest)
             await _wait_until(named_at + 4.0)
             await self.assert_refused(scene)
 
--- a/tests/coordination/gateway/orders/test_rollout.py
+++ b/tests/coordination/gateway/orders/test_rollout.py
@@ -124,7 +124,7 @@
             for engine in newer:
                 engine.weights = 2
                 scene.list_target(engine)
-            held = scene.site.weights.held
+            held = scene.site.weights.held_version
             await scene.until(
                 lambda: all(held(e.name, "m") == 2 for e in newer)
             )
--- a/tests/coordination/gateway/orders/test_weights_notices.py
+++ b/tests/coordination/gateway/orders/test_weights_notices.py
@@ -77,7 +77,7 @@
             self.assertEqual(engine.weights, 1)
             await scene.until(lambda: len(seen) >= 4)
             for site in (scene.site, other.site):
-                self.assertEqual(site.weights.held(engine.name, "m"), 2)
+                self.assertEqual(site.weights.held_version(engine.name, "m"), 2)
                 state = site.state(engine.name)
                 self.assertLess(state.loading_until, anyio.current_time())
 
@@ -119,7 +119,9 @@
                 False,
             )
             scene.site.take_weights_notice(notice, 0.0)
-            self.assertEqual(scene.site.weights.held(engine.name, "m"), 1)
+            self.assertEqual(
+                scene.site.weights.held_version(engine.name, "m"), 1
+            )
 
         scene_lib.play(story, engines=1, plain=0)
 
--- a/tests/coordination/gateway/serving/test_explaining.py
+++ b/tests/coordination/gateway/serving/test_explaining.py
@@ -136,7 +136,7 @@
         async def story(scene):
             scene.engines[0].order_status = 409
             scene.name_weights(3)
-            await scene.until(lambda: "m" in scene.site.weights.named)
+            await scene.until(lambda: "m" in scene.site.weights.newest)
             request = scene.prompt("/stream/x", x_deadline_ms="500")
             scene.engines[0].behave(standin.Fail())
             await scene.call(request)
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -316,9 +316,9 @@
         async def story(scene):
             engine = scene.engines[0]
             engine.weights = 2
-            scene.site.weights.name("m", 2, anyio.current_time())
+            scene.site.weights.record_announcement("m", 2, anyio.current_time())
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
-            self.assertEqual(scene.site.weights.held("e0", "m"), 2)
+            self.assertEqual(scene.site.weights.held_version("e0", "m"), 2)
 
         scene_lib.play(story, engines=1)
--- a/tests/coordination/gateway/test_bounds_range.py
+++ b/tests/coordination/gateway/test_bounds_range.py
@@ -118,9 +118,9 @@
     def test_starts_on_old_weights_end_before_the_bound(self):
         for version_s in (4.0, 8.0, 12.0, 24.0):
             with self.subTest(version_s=version_s):
-                board = weights.WeightsBoard(version_s)
-                board.list_target("e", "m", 1)
-                board.name("m", 2, 100.0, 99.9)
+                board = weights.WeightsTracker(version_s)
+                board.update_from_list("e", "m", 1)
+                board.record_announcement("m", 2, 100.0, 99.9)
                 lag = board.lag("e", "m", 100.0 + version_s - _WAY_S)
                 self.assertIs(lag.grace, weights.WeightsGrace.FORBIDDEN)
                 self.assertLess(lag.start_by, 100.0 + version_s)
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -377,10 +377,12 @@
             await scene.until(
                 lambda: all(e.weights == 2 for e in scene.engines)
             )
-            scene.site.weights = weights.WeightsBoard()
-            scene.site.weights.name("m", 2, time.monotonic() - 60.0)
+            scene.site.weights = weights.WeightsTracker()
+            scene.site.weights.record_announcement(
+                "m", 2, time.monotonic() - 60.0
+            )
             for engine in scene.engines:
-                scene.site.weights.report(engine.name, "m", 2)
+                scene.site.weights.update_from_report(engine.name, "m", 2)
             old = scene.engines[0]
             old.weights = 1
             old.name = "e0-again"
--- a/tests/coordination/gateway/test_restarts.py
+++ b/tests/coordination/gateway/test_restarts.py
@@ -162,7 +162,7 @@
         self.assertIs(state.breaker.state(0.0), health.BreakerState.CLOSED)
         self.assertTrue(state.is_available(0.0))
         self.assertEqual(len(state.warm), 0)
-        self.assertEqual(self.site.weights.held("e", "m"), 3)
+        self.assertEqual(self.site.weights.held_version("e", "m"), 3)
 
     def test_notices_meant_for_the_earlier_start_change_nothing(self):
         self.site.put_target("e", _encode(born=2_000))
@@ -179,7 +179,7 @@
             )
         )
         self.assertFalse(self.site.take_report("e", "m", late))
-        self.assertEqual(self.site.weights.held("e", "m"), 3)
+        self.assertEqual(self.site.weights.held_version("e", "m"), 3)
 
     def test_report_of_a_later_start_is_believed_before_the_list(self):
         self.site.state("e").record_unreachable(0.0)
@@ -189,7 +189,7 @@
             )
         )
         self.assertTrue(self.site.take_report("e", "m", report))
-        self.assertEqual(self.site.weights.held("e", "m"), 5)
+        self.assertEqual(self.site.weights.held_version("e", "m"), 5)
         self.assertTrue(self.site.state("e").is_available(0.0))
         self.site.put_target("e", _encode(state="draining"))  # late
         self.assertFalse(self.site.targets.entries["e"].leaving)
--- a/tests/state/targets/test_rollout.py
+++ b/tests/state/targets/test_rollout.py
@@ -22,8 +22,8 @@
 
 class MembersTest(unittest.TestCase):
     def test_target_that_does_not_list_the_model_is_not_ordered(self):
-        board = weights.WeightsBoard()
-        board.name("m", 2, 0.0)
+        board = weights.WeightsTracker()
+        board.record_announcement("m", 2, 0.0)
         other = _entry("other")._replace(weights={"n": 1})
         behind = rollout.targets_behind([other, _entry("a")], "m", board)
         self.assertEqual([entry.target.name for entry in behind], ["a"])
@@ -33,18 +33,18 @@
     """Five targets with weights 1 while weights 2 are named."""
 
     def __init__(self):
-        self.board = weights.WeightsBoard()
-        self.board.name("m", 2, 0.0)
+        self.board = weights.WeightsTracker()
+        self.board.record_announcement("m", 2, 0.0)
         self.entries = [_entry(name) for name in _NAMES]
         for name in _NAMES:
-            self.board.list_target(name, "m", 1)
+            self.board.update_from_list(name, "m", 1)
         self.plan = rollout.RolloutPlan()
         self.lost = set()
 
     @property
     def wave(self):
         """All names in the order of their loads."""
-        return rollout.wave_order("m", self.board.named["m"].version, _NAMES)
+        return rollout.wave_order("m", self.board.newest["m"].version, _NAMES)
 
     def next_names(self, now):
         """Returns the targets whose loads may begin."""
@@ -70,7 +70,7 @@
 
     def hold(self, name, version, now):
         """Has a load end well."""
-        self.board.report(name, "m", version)
+        self.board.update_from_report(name, "m", version)
         self.plan.end(name, rollout.LoadEnd.HELD, now)
 
 
@@ -188,16 +188,16 @@
         silent, *others = self.site.wave
         self.site.begin(0.0)
         self.plan.end(silent, rollout.LoadEnd.UNANSWERED, 0.7)
-        self.site.board.name("m", 3, 1.0)
+        self.site.board.record_announcement("m", 3, 1.0)
         for name in others:
             self.site.hold(name, 2, 1.0)
         self.assertEqual(self.site.next_names(1.1)[0], silent)
 
     def test_oldest_weights_go_first(self):
-        self.site.board.name("m", 9, 0.0)
+        self.site.board.record_announcement("m", 9, 0.0)
         versions = {"a": 5, "b": 3, "c": 8, "d": 4, "e": 9}
         for name, version in versions.items():
-            self.site.board.report(name, "m", version)
+            self.site.board.update_from_report(name, "m", version)
         self.assertEqual(self.site.load(0.0), ["b", "d"])
         self.site.hold("b", 9, 1.0)
         self.assertEqual(self.site.load(1.0), ["a"])
@@ -214,7 +214,7 @@
         old = self.site.wave[0]
         address = self.site.entries[_NAMES.index(old)].target.address
         self.site.entries.append(_entry("successor", address))
-        self.site.board.list_target("successor", "m", 1)
+        self.site.board.update_from_list("successor", "m", 1)
         names = [*_NAMES, "successor"]
         wave = rollout.wave_order("m", 2, names)
         wave.remove(old)
