--- a/hillthread/coordination/gateway/orders/rollout_keeper.py
+++ b/hillthread/coordination/gateway/orders/rollout_keeper.py
@@ -154,9 +154,9 @@
 
     def _begin(self, wave: _Wave, now: float) -> None:
         """Begins the loads for which there is room."""
-        peers = self.plan.living(wave.members)
+        peers = self.plan.unreplaced_names(wave.members)
         for entry in self._next(wave, now):
-            self.plan.begin(entry.target.name, peers, now)
+            self.plan.begin_load(entry.target.name, peers, now)
             self.tasks.start_soon(self._load, entry.target, wave.model)
 
     async def _load(self, target: objects.Target, model: str) -> None:
--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -84,16 +84,16 @@
     async def load(self, target: objects.Target, model: str) -> None:
         """Moves a target whose load the plan has begun, and ends the load."""
         started = clock.now()
-        end = rollout.LoadEnd.TOO_LONG
+        end = rollout.LoadOutcome.TOO_LONG
         reason = ""
         try:
             with anyio.move_on_after(_LOAD_LIMIT_S):
                 end = await self._move(target, model)
         except errors.HillthreadError as error:
-            end = rollout.LoadEnd.FAILED
+            end = rollout.LoadOutcome.FAILED
             reason = str(error)
         finally:
-            self.plan.end(target.name, end, clock.now())
+            self.plan.end_load(target.name, end, clock.now())
         self.metrics.loads.labels(end).inc()
         _logger.info(
             "load ended",
@@ -111,7 +111,7 @@
 
     async def _move(
         self, target: objects.Target, model: str
-    ) -> rollout.LoadEnd:
+    ) -> rollout.LoadOutcome:
         report = await self._ask(target, model)
         if report is None:
             return self._unreported(target)
@@ -120,17 +120,17 @@
                 target, model, report.orders - 1, report.born_ms
             )
         if self._holds_newest(target, model):
-            return rollout.LoadEnd.HELD
-        if not self.plan.claim(target.name, clock.now()):
-            return rollout.LoadEnd.NO_ROOM
+            return rollout.LoadOutcome.HELD
+        if not self.plan.reserve_slot(target.name, clock.now()):
+            return rollout.LoadOutcome.NO_ROOM
         if not await self.duty.ensure():
-            return rollout.LoadEnd.NO_LEASE
+            return rollout.LoadOutcome.NO_LEASE
         try:
             self._tell(target, model, report.born_ms, loading=True)
             await anyio.sleep(_EMPTY_QUEUE_S)
             given = await self._order(target, model, report)
             if given is None:
-                return rollout.LoadEnd.NO_LEASE
+                return rollout.LoadOutcome.NO_LEASE
             return await self._follow(target, model, given)
         finally:
             self._tell(target, model, report.born_ms, loading=False)
@@ -168,7 +168,7 @@
             report.orders,
         )
         now = clock.now()
-        self.plan.reach(target.name, rollout.LoadStage.ORDERED, now)
+        self.plan.set_stage(target.name, rollout.LoadStage.ORDERED, now)
         if not lease.may_act():
             return None
         answer = await orders.send_order(self.pool, target, order)
@@ -194,7 +194,7 @@
 
     async def _follow(
         self, target: objects.Target, model: str, given: _Given
-    ) -> rollout.LoadEnd:
+    ) -> rollout.LoadOutcome:
         """Returns what became of a target after an order."""
         match given.answer:
             case orders.OrderAnswer.TAKEN:
@@ -208,16 +208,16 @@
                 return self._reached(target, model)
             case orders.OrderAnswer.FENCED:
                 self.duty.give_up("an engine has seen a newer holder")
-                return rollout.LoadEnd.NO_LEASE
+                return rollout.LoadOutcome.NO_LEASE
             case orders.OrderAnswer.OTHER_INCARNATION:
-                return rollout.LoadEnd.OTHER_INCARNATION
+                return rollout.LoadOutcome.OTHER_INCARNATION
             case orders.OrderAnswer.UNSENT:
-                return rollout.LoadEnd.NO_REPORT
-        return rollout.LoadEnd.NOT_TAKEN
+                return rollout.LoadOutcome.NO_REPORT
+        return rollout.LoadOutcome.NOT_TAKEN
 
     async def _settle(
         self, target: objects.Target, model: str, given: _Given
-    ) -> rollout.LoadEnd:
+    ) -> rollout.LoadOutcome:
         """Finds out by the report whether an order was taken.
 
         If it was not, it may still be carried out later. It is left at that:
@@ -229,12 +229,12 @@
         if report is None:
             return self._unreported(target)
         if report.born_ms != given.born_ms:
-            return rollout.LoadEnd.RESTARTED
+            return rollout.LoadOutcome.RESTARTED
         if report.busy or report.orders > given.orders_taken:
             return await self._watch(
                 target, model, given.orders_taken, given.born_ms
             )
-        return rollout.LoadEnd.UNANSWERED
+        return rollout.LoadOutcome.UNANSWERED
 
     async def _watch(
         self,
@@ -242,7 +242,7 @@
         model: str,
         orders_before: int,
         born_ms: int,
-    ) -> rollout.LoadEnd:
+    ) -> rollout.LoadOutcome:
         """Waits until a load that the engine has confirmed is over.
 
         Args:
@@ -254,17 +254,17 @@
                 again since has lost the order, and counts anew.
         """
         name = target.name
-        self.plan.reach(name, rollout.LoadStage.LOADING, clock.now())
+        self.plan.set_stage(name, rollout.LoadStage.LOADING, clock.now())
         while name in self.site.targets.entries:
             await anyio.sleep(_POLL_S)
             report = await self._ask(target, model)
             if report is None:
-                return rollout.LoadEnd.NO_REPORT
+                return rollout.LoadOutcome.NO_REPORT
             if report.born_ms != born_ms:
-                return rollout.LoadEnd.RESTARTED
+                return rollout.LoadOutcome.RESTARTED
             if not report.busy and report.orders > orders_before:
                 return self._reached(target, model)
-        return rollout.LoadEnd.TARGET_GONE
+        return rollout.LoadOutcome.TARGET_GONE
 
     async def _ask(
         self, target: objects.Target, model: str
@@ -277,16 +277,18 @@
             return None
         return report
 
-    def _unreported(self, target: objects.Target) -> rollout.LoadEnd:
+    def _unreported(self, target: objects.Target) -> rollout.LoadOutcome:
         if target.name in self.site.targets.entries:
-            return rollout.LoadEnd.NO_REPORT
-        return rollout.LoadEnd.TARGET_GONE
+            return rollout.LoadOutcome.NO_REPORT
+        return rollout.LoadOutcome.TARGET_GONE
 
-    def _reached(self, target: objects.Target, model: str) -> rollout.LoadEnd:
+    def _reached(
+        self, target: objects.Target, model: str
+    ) -> rollout.LoadOutcome:
         """Returns the end of a load that is over."""
         if self._holds_newest(target, model):
-            return rollout.LoadEnd.HELD
-        return rollout.LoadEnd.OVERTAKEN
+            return rollout.LoadOutcome.HELD
+        return rollout.LoadOutcome.OVERTAKEN
 
     def _holds_newest(self, target: objects.Target, model: str) -> bool:
         held = self.site.weights.held_version(target.name, model) or 0
--- a/hillthread/state/targets/rollout.py
+++ b/hillthread/state/targets/rollout.py
@@ -22,12 +22,12 @@
 from hillthread.state.targets import weights as weights_lib
 
 __all__ = [
-    "LoadEnd",
+    "LoadOutcome",
     "LoadStage",
     "RolloutPlan",
-    "loads_at_once",
+    "max_concurrent_loads",
     "targets_behind",
-    "wave_order",
+    "rank_for_rollout",
 ]
 
 # More loads than this share of a pool at once slow each other down: 2 of 5,
@@ -38,7 +38,7 @@
 _MOST_BACK_OFF_S = 2.4
 
 
-class LoadEnd(enum.StrEnum):
+class LoadOutcome(enum.StrEnum):
     """How the load of one target ended."""
 
     HELD = "held"
@@ -58,7 +58,7 @@
 class LoadStage(enum.StrEnum):
     """How far a load has come."""
 
-    ASKED = "asked"
+    AWAITING_REPORT = "asked"
     ORDERED = "ordered"
     LOADING = "loading"
 
@@ -66,7 +66,7 @@
 # How long a load counts towards the share, from the begin of its stage. A
 # sound target reports within some ms; a lost one must not keep others waiting.
 _COUNTS_S = {
-    LoadStage.ASKED: 0.25,
+    LoadStage.AWAITING_REPORT: 0.25,
     LoadStage.ORDERED: 1.0,
     LoadStage.LOADING: 4.0,
 }
@@ -132,7 +132,7 @@
             lost: Targets that serve nobody, as others have found.
             now: Seconds.
         """
-        living = self.living(members)
+        living = self.unreplaced_names(members)
         room = self._room(living, lost, now)
         if room <= 0:
             return []
@@ -145,7 +145,7 @@
         free.sort(key=lambda entry: self._urgency(entry, model, board, now))
         return free[:room]
 
-    def living(
+    def unreplaced_names(
         self, members: Sequence[target_list.ListedTarget]
     ) -> frozenset[str]:
         """Returns the targets but those that another one has replaced.
@@ -161,42 +161,52 @@
         }
         return frozenset(by_address.values())
 
-    def begin(self, target: str, peers: Collection[str], now: float) -> None:
+    def begin_load(
+        self, target: str, peers: Collection[str], now: float
+    ) -> None:
         """Notes that the load of a target begins: its report is awaited."""
-        self._loads[target] = _Load(frozenset(peers), LoadStage.ASKED, now)
+        self._loads[target] = _Load(
+            frozenset(peers), LoadStage.AWAITING_REPORT, now
+        )
 
-    def claim(self, target: str, now: float) -> bool:
+    def reserve_slot(self, target: str, now: float) -> bool:
         """Returns whether the target may be ordered now.
 
         Others may have begun while its report was awaited.
         """
         load = self._loads[target]
         others = self._count(load.peers - {target}, now)
-        if others >= loads_at_once(len(load.peers)):
+        if others >= max_concurrent_loads(len(load.peers)):
             return False
-        self.reach(target, LoadStage.ORDERED, now)
+        self.set_stage(target, LoadStage.ORDERED, now)
         return True
 
-    def reach(self, target: str, stage: LoadStage, now: float) -> None:
+    def set_stage(self, target: str, stage: LoadStage, now: float) -> None:
         """Notes how far a load has come."""
         load = self._loads[target]
         if load.stage is not stage:
             self._loads[target] = load._replace(stage=stage, since=now)
 
-    def end(self, target: str, end: LoadEnd, now: float) -> None:
+    def end_load(self, target: str, end: LoadOutcome, now: float) -> None:
         """Notes that a load has ended."""
         self._loads.pop(target, None)
         match end:
-            case LoadEnd.HELD | LoadEnd.OVERTAKEN | LoadEnd.RESTARTED:
+            case (
+                LoadOutcome.HELD | LoadOutcome.OVERTAKEN | LoadOutcome.RESTARTED
+            ):
                 self._setbacks.pop(target, None)
-            case LoadEnd.TARGET_GONE | LoadEnd.OTHER_INCARNATION:
+            case LoadOutcome.TARGET_GONE | LoadOutcome.OTHER_INCARNATION:
                 self._setbacks.pop(target, None)
                 self._gone.add(target)
-            case LoadEnd.NO_REPORT | LoadEnd.FAILED:
+            case LoadOutcome.NO_REPORT | LoadOutcome.FAILED:
                 self._set_back(target, now, lost=True)
-            case LoadEnd.UNANSWERED | LoadEnd.NOT_TAKEN | LoadEnd.TOO_LONG:
+            case (
+                LoadOutcome.UNANSWERED
+                | LoadOutcome.NOT_TAKEN
+                | LoadOutcome.TOO_LONG
+            ):
                 self._set_back(target, now, lost=False)
-            case LoadEnd.NO_ROOM | LoadEnd.NO_LEASE:
+            case LoadOutcome.NO_ROOM | LoadOutcome.NO_LEASE:
                 pass
 
     def keep_only(self, names: Collection[str]) -> None:
@@ -210,7 +220,7 @@
     ) -> int:
         """Returns how many more loads may begin among some targets."""
         out = sum(name in lost or self._is_lost(name) for name in names)
-        limit = max(1, loads_at_once(len(names)) - out)
+        limit = max(1, max_concurrent_loads(len(names)) - out)
         return limit - self._count(names, now)
 
     def _count(self, names: Collection[str], now: float) -> int:
@@ -221,7 +231,7 @@
         )
 
     def _counts(self, name: str, load: _Load, now: float) -> bool:
-        if load.stage is LoadStage.ASKED and self._is_lost(name):
+        if load.stage is LoadStage.AWAITING_REPORT and self._is_lost(name):
             return False
         return now - load.since < _COUNTS_S[load.stage]
 
@@ -258,12 +268,14 @@
         self._setbacks[target] = _Setback(tries, now + back_off_s, lost)
 
 
-def loads_at_once(targets: int) -> int:
+def max_concurrent_loads(targets: int) -> int:
     """Returns how many of a pool's targets may load at the same time."""
     return max(1, math.ceil(targets * _AT_ONCE_SHARE))
 
 
-def wave_order(model: str, version: int, names: Collection[str]) -> list[str]:
+def rank_for_rollout(
+    model: str, version: int, names: Collection[str]
+) -> list[str]:
     """Returns targets in the order of their loads, the same on all hosts."""
     return placement.rank_by_rendezvous(f"{model}/{version}".encode(), names)
 
@@ -285,5 +297,5 @@
         for entry in entries
         if model in entry.weights and board.is_behind(entry.target.name, model)
     }
-    order = wave_order(model, named.version, behind)
+    order = rank_for_rollout(model, named.version, behind)
     return [behind[name] for name in order]
--- a/tests/coordination/gateway/orders/test_rollout.py
+++ b/tests/coordination/gateway/orders/test_rollout.py
@@ -20,15 +20,18 @@
 def _in_wave(scene, version):
     """Returns the engines in the order of their loads."""
     engines = {engine.name: engine for engine in scene.engines}
-    return [engines[name] for name in rollout.wave_order("m", version, engines)]
+    return [
+        engines[name]
+        for name in rollout.rank_for_rollout("m", version, engines)
+    ]
 
 
 def _first_in_wave(scene, version, count):
     """Returns names that come before those of all engines."""
     engines = {engine.name for engine in scene.engines}
     names = [f"lost{number}" for number in range(1000)]
-    first = rollout.wave_order("m", version, names)[:count]
-    order = rollout.wave_order("m", version, [*engines, *first])
+    first = rollout.rank_for_rollout("m", version, names)[:count]
+    order = rollout.rank_for_rollout("m", version, [*engines, *first])
     assert order[:count] == first, "an engine comes before them"
     return first
 
@@ -149,7 +152,7 @@
                     busy = sum(engine.busy for engine in scene.engines)
                     most = max(most, busy)
                     await anyio.sleep(0.005)
-            self.assertEqual(most, rollout.loads_at_once(_ENGINES))
+            self.assertEqual(most, rollout.max_concurrent_loads(_ENGINES))
 
         scene_lib.play(story, engines=_ENGINES, plain=0)
 
--- a/tests/state/targets/test_weights.py
+++ b/tests/state/targets/test_weights.py
@@ -106,7 +106,7 @@
 
     def test_loads_at_once(self):
         self.assertEqual(
-            [rollout.loads_at_once(n) for n in (1, 4, 5, 45, 70)],
+            [rollout.max_concurrent_loads(n) for n in (1, 4, 5, 45, 70)],
             [1, 2, 2, 18, 28],
         )
 
