--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -77,7 +77,7 @@
     def adopt_settings(self, settings: settings_lib.GatewaySettings) -> None:
         """Puts settings in force, at the start and when they change."""
         self.settings = settings
-        self.targets.hold_s = settings.drain_ms / 1000.0 * _READY_SHARE
+        self.targets.max_missing_s = settings.drain_ms / 1000.0 * _READY_SHARE
         self.weights.limit_s = settings.version_ms / 1000.0
 
     @property
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -92,12 +92,12 @@
             change = self.targets.withdraw(incarnation)
             self._note_removal(incarnation, change, before)
             raise
-        if self.targets.is_earlier(incarnation, entry.born_ms):
+        if self.targets.is_earlier_incarnation(incarnation, entry.born_ms):
             return
         change = self.targets.put(entry)
         if change is target_list.TargetChange.RESTARTED and before is not None:
             self._forget_start(incarnation, before.target.address)
-        if change is target_list.TargetChange.COME:
+        if change is target_list.TargetChange.ADDED:
             self._note_successor(entry)
         for model, version in entry.weights.items():
             self.weights.update_from_list(incarnation, model, version)
@@ -182,10 +182,13 @@
             Whether it is word of the engine's last start; if not, it is passed
             over.
         """
-        if self.targets.is_earlier(name, report.born_ms):
+        if self.targets.is_earlier_incarnation(name, report.born_ms):
             return False
         entry = self.targets.entries.get(name)
-        if self.targets.note_start(name, report.born_ms) and entry is not None:
+        if (
+            self.targets.record_start(name, report.born_ms)
+            and entry is not None
+        ):
             self._forget_start(name, entry.target.address)
             self._note_target(
                 name, target_list.TargetChange.RESTARTED, "report"
@@ -268,7 +271,7 @@
         change: target_list.TargetChange,
         source: str = "list",
     ) -> None:
-        if change is target_list.TargetChange.NONE:
+        if change is target_list.TargetChange.UNCHANGED:
             return
         entry = self.targets.entries.get(name)
         self.metrics.targets.set(len(self.targets.entries))
--- a/hillthread/state/targets/target_list.py
+++ b/hillthread/state/targets/target_list.py
@@ -34,8 +34,8 @@
 class TargetChange(enum.StrEnum):
     """What a new entry changed."""
 
-    NONE = "none"
-    COME = "come"
+    UNCHANGED = "none"
+    ADDED = "come"
     CHANGED = "changed"
     RESTARTED = "restarted"
     LEAVING = "leaving"
@@ -70,9 +70,9 @@
         born_ms: The latest start known of each name that told one.
     """
 
-    def __init__(self, return_s: float, hold_s: float = _FOREVER):
-        self.return_s = return_s
-        self.hold_s = hold_s
+    def __init__(self, relist_grace_s: float, max_missing_s: float = _FOREVER):
+        self.relist_grace_s = relist_grace_s
+        self.max_missing_s = max_missing_s
         self.entries: dict[str, ListedTarget] = {}
         self.leaving: set[str] = set()
         self.born_ms: dict[str, int] = {}
@@ -103,9 +103,9 @@
     def put(self, entry: ListedTarget) -> TargetChange:
         """Takes in an entry and returns what it changed."""
         name = entry.target.name
-        if self.is_earlier(name, entry.born_ms):
-            return TargetChange.NONE
-        restarted = self.note_start(name, entry.born_ms)
+        if self.is_earlier_incarnation(name, entry.born_ms):
+            return TargetChange.UNCHANGED
+        restarted = self.record_start(name, entry.born_ms)
         self._drop_at.pop(name, None)
         if name in self.leaving:
             entry = entry._replace(leaving=True)
@@ -120,12 +120,12 @@
             if before is None or not before.leaving:
                 return TargetChange.LEAVING
         if before is None:
-            return TargetChange.COME
+            return TargetChange.ADDED
         if before == entry:
-            return TargetChange.NONE
+            return TargetChange.UNCHANGED
         return TargetChange.CHANGED
 
-    def is_earlier(self, name: str, born_ms: int) -> bool:
+    def is_earlier_incarnation(self, name: str, born_ms: int) -> bool:
         """Returns whether word is of an incarnation before the one known.
 
         A target that has told of its start does so in all that it says: word
@@ -133,7 +133,7 @@
         """
         return born_ms < self.born_ms.get(name, 0)
 
-    def note_start(self, name: str, born_ms: int) -> bool:
+    def record_start(self, name: str, born_ms: int) -> bool:
         """Takes in when a target started.
 
         Returns:
@@ -168,7 +168,7 @@
     def withdraw(self, name: str) -> TargetChange:
         """Drops a target whose entry names none any more."""
         if name not in self.entries:
-            return TargetChange.NONE
+            return TargetChange.UNCHANGED
         self._drop(name)
         return TargetChange.GONE
 
@@ -176,13 +176,13 @@
         """Notes that an entry is missing and returns what that changed."""
         entry = self.entries.get(name)
         if entry is None:
-            return TargetChange.NONE
+            return TargetChange.UNCHANGED
         if entry.leaving or not self._may_have_lapsed(now):
             self._drop(name)
             return TargetChange.GONE
         if name in self._drop_at:
-            return TargetChange.NONE
-        self._drop_at[name] = now + min(self.hold_s, self.return_s)
+            return TargetChange.UNCHANGED
+        self._drop_at[name] = now + min(self.max_missing_s, self.relist_grace_s)
         return TargetChange.MISSING
 
     def expire(self, now: float) -> list[str]:
@@ -229,7 +229,7 @@
         return members
 
     def _may_have_lapsed(self, now: float) -> bool:
-        return self._away or now - self._back_at <= self.return_s
+        return self._away or now - self._back_at <= self.relist_grace_s
 
     def _note_change(self) -> None:
         """Forgets what was worked out from the entries."""
--- a/tests/coordination/gateway/test_bounds_range.py
+++ b/tests/coordination/gateway/test_bounds_range.py
@@ -62,7 +62,7 @@
         for drain_ms in (1_000, 2_000, 4_000, 8_000):
             with self.subTest(drain_ms=drain_ms):
                 believed = site(drain_ms=drain_ms)
-                believed.targets.put(test_target_list.entry("a"))
+                believed.targets.put(test_target_list.make_entry("a"))
                 believed.targets.store_lost()
                 believed.targets.remove("a", 0.0)
                 gather_s = host_lib._TARGETS_GATHER_SHARE * drain_ms / 1000.0
@@ -163,8 +163,8 @@
         for drain_s in (1.0, 2.0, 4.0):
             with self.subTest(drain_s=drain_s):
                 targets = target_list.TargetList(2.0, 0.6 * drain_s)
-                targets.put(test_target_list.entry("a"))
+                targets.put(test_target_list.make_entry("a"))
                 targets.store_lost()
                 targets.remove("a", 0.0)
-                targets.put(test_target_list.entry("a"))
+                targets.put(test_target_list.make_entry("a"))
                 self.assertEqual(targets.expire(2 * drain_s), [])
--- a/tests/coordination/gateway/test_settings_watch.py
+++ b/tests/coordination/gateway/test_settings_watch.py
@@ -38,11 +38,11 @@
         self.path.write_text(json.dumps({**_SETTINGS, **changes}))
 
     def test_changed_bounds_reach_what_keeps_to_them(self):
-        self.assertAlmostEqual(self.site.targets.hold_s, 1.2)
+        self.assertAlmostEqual(self.site.targets.max_missing_s, 1.2)
         self.assertAlmostEqual(self.site.weights.limit_s, 10.0)
         self.write(drain_ms=1_000, version_ms=4_000)
         self.watch.reload()
-        self.assertAlmostEqual(self.site.targets.hold_s, 0.6)
+        self.assertAlmostEqual(self.site.targets.max_missing_s, 0.6)
         self.assertAlmostEqual(self.site.weights.limit_s, 4.0)
 
     def test_file_that_changed_before_the_watch_began_is_read(self):
--- a/tests/state/targets/test_announcements_at_size.py
+++ b/tests/state/targets/test_announcements_at_size.py
@@ -53,7 +53,9 @@
         self.targets = target_list.TargetList(2.0, self.drain_s * 0.6)
         self.backoffs = backoffs.Backoffs()
         for number in range(self.count):
-            self.targets.put(test_target_list.entry(f"t{number}", born_ms=1))
+            self.targets.put(
+                test_target_list.make_entry(f"t{number}", born_ms=1)
+            )
 
 
 class Play:
@@ -186,7 +188,7 @@
         del now
         for host in self.hosts:
             for target in targets:
-                host.targets.put(test_target_list.entry(target, born_ms=1))
+                host.targets.put(test_target_list.make_entry(target, born_ms=1))
 
     def late_after_departure(self, drain_s):
         """Returns requests sent too long after their host was told."""
--- a/tests/state/targets/test_target_list.py
+++ b/tests/state/targets/test_target_list.py
@@ -9,7 +9,7 @@
 from hillthread.state.targets import target_list
 
 
-def entry(name, leaving=False, born_ms=0):
+def make_entry(name, leaving=False, born_ms=0):
     """Returns an entry of the list."""
     target = objects.Target(
         name=name,
@@ -29,7 +29,7 @@
 
     def test_missing_entry_is_gone_at_once_in_quiet_times(self):
         targets = target_list.TargetList(2.0, 1.2)
-        targets.put(entry("a"))
+        targets.put(make_entry("a"))
         change = targets.remove("a", 10.0)
         self.assertEqual(change, target_list.TargetChange.GONE)
         self.assertEqual(self.names(targets), set())
@@ -37,64 +37,64 @@
     def test_entry_that_lapsed_in_an_outage_may_come_back(self):
         targets = target_list.TargetList(2.0, 1.2)
         for name in "ab":
-            targets.put(entry(name))
+            targets.put(make_entry(name))
         targets.store_lost()
         targets.store_back(10.0)
         for name in "ab":
             targets.remove(name, 10.1)
         self.assertEqual(self.names(targets), {"a", "b"})
-        targets.put(entry("a"))
+        targets.put(make_entry("a"))
         self.assertEqual(targets.expire(11.4), ["b"])
         self.assertEqual(self.names(targets), {"a"})
         self.assertEqual(targets.expire(99.0), [])
 
     def test_one_that_left_and_started_again_is_used(self):
         targets = target_list.TargetList(2.0, 1.2)
-        targets.put(entry("a", born_ms=1_000))
-        targets.put(entry("a", leaving=True, born_ms=1_000))
+        targets.put(make_entry("a", born_ms=1_000))
+        targets.put(make_entry("a", leaving=True, born_ms=1_000))
         self.assertEqual(self.names(targets), set())
-        change = targets.put(entry("a", born_ms=2_000))
+        change = targets.put(make_entry("a", born_ms=2_000))
         self.assertEqual(change, target_list.TargetChange.RESTARTED)
         self.assertEqual(self.names(targets), {"a"})
 
     def test_late_word_of_an_earlier_start_changes_nothing(self):
         targets = target_list.TargetList(2.0, 1.2)
-        targets.put(entry("a", born_ms=2_000))
+        targets.put(make_entry("a", born_ms=2_000))
         for late in (
-            entry("a", leaving=True, born_ms=1_000),
-            entry("a", born_ms=1_999),
-            entry("a"),
+            make_entry("a", leaving=True, born_ms=1_000),
+            make_entry("a", born_ms=1_999),
+            make_entry("a"),
         ):
             change = targets.put(late)
-            self.assertEqual(change, target_list.TargetChange.NONE)
+            self.assertEqual(change, target_list.TargetChange.UNCHANGED)
             self.assertEqual(targets.entries["a"].born_ms, 2_000)
         self.assertEqual(self.names(targets), {"a"})
 
     def test_start_that_a_report_tells_ends_the_departure(self):
         targets = target_list.TargetList(2.0, 1.2)
-        targets.put(entry("a", leaving=True, born_ms=1_000))
-        self.assertFalse(targets.note_start("a", 1_000))
-        self.assertTrue(targets.note_start("a", 2_000))
+        targets.put(make_entry("a", leaving=True, born_ms=1_000))
+        self.assertFalse(targets.record_start("a", 1_000))
+        self.assertTrue(targets.record_start("a", 2_000))
         self.assertEqual(self.names(targets), {"a"})
-        targets.put(entry("a", leaving=True, born_ms=1_000))
+        targets.put(make_entry("a", leaving=True, born_ms=1_000))
         self.assertEqual(self.names(targets), {"a"})
 
     def test_departure_of_the_same_start_is_final(self):
         targets = target_list.TargetList(2.0, 1.2)
-        targets.put(entry("a", leaving=True, born_ms=1_000))
+        targets.put(make_entry("a", leaving=True, born_ms=1_000))
         targets.remove("a", 5.0)
-        targets.put(entry("a", born_ms=1_000))
+        targets.put(make_entry("a", born_ms=1_000))
         self.assertEqual(self.names(targets), set())
 
     def test_engine_that_lists_no_model_is_not_used(self):
         targets = target_list.TargetList(2.0, 1.2)
-        targets.put(entry("a"))
+        targets.put(make_entry("a"))
         pool = objects.Pool(name="s", target_selector="service=s", models=["m"])
         self.assertEqual(targets.members(pool), [])
 
     def test_leaving_entry_is_not_kept_in_an_outage(self):
         targets = target_list.TargetList(2.0, 1.2)
-        targets.put(entry("a", leaving=True))
+        targets.put(make_entry("a", leaving=True))
         targets.store_lost()
         self.assertEqual(
             targets.remove("a", 10.0), target_list.TargetChange.GONE
@@ -119,9 +119,9 @@
             now += pause
             match step:
                 case "ready":
-                    targets.put(entry("a"))
+                    targets.put(make_entry("a"))
                 case "leaving":
-                    targets.put(entry("a", leaving=True))
+                    targets.put(make_entry("a", leaving=True))
                     left = True
                 case "remove":
                     targets.remove("a", now)
