--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -155,7 +155,7 @@
             self.hosts_read,
             self.hosts_settled,
         )
-        self.rollout = rollout_keeper.RolloutKeeper(
+        self.rollout = rollout_keeper.RolloutController(
             self.site,
             order_lease.OrderLease(
                 self.store, settings.host, settings.lease_ms / 1000.0
--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -10,7 +10,7 @@
 from hillthread.state.cluster import feed_source
 from hillthread.state.cluster import succession
 
-__all__ = ["OrderDuty"]
+__all__ = ["OrderLeadership"]
 
 _DUTY = "orders"
 # Hosts of lower rank do not read the lease after a rollout.
@@ -21,7 +21,7 @@
 _NEVER = float("inf")
 
 
-class OrderDuty:
+class OrderLeadership:
     """This host's part in the duty of giving orders.
 
     Attributes:
@@ -44,7 +44,7 @@
         self._resigned_until = -_NEVER
         self._look_at = clock.now() + _LOOK_AFTER_S
 
-    async def take(self, now: float) -> bool:
+    async def try_acquire(self, now: float) -> bool:
         """Takes the duty if it is this host's turn; called while it is needed.
 
         Returns:
@@ -58,7 +58,7 @@
             self._try_at = max(self._resigned_until, first_at)
         if now < self._try_at or self._is_done_elsewhere(now):
             return False
-        if await self.ensure():
+        if await self.acquire_or_renew():
             return True
         self._try_at = succession.next_try_at(
             self._standing(), clock.now(), random.random()
@@ -77,7 +77,7 @@
             return False
         return now - self.site.load_told_at < _SILENCE_S
 
-    async def ensure(self) -> bool:
+    async def acquire_or_renew(self) -> bool:
         """Returns whether orders may be given now; renews the lease if due.
 
         A host that is about to end begins none; a holder goes on until then,
@@ -87,19 +87,19 @@
             return False
         if self.site.draining and not self.lease.is_holder:
             return False
-        return await self.lease.ensure()
+        return await self.lease.acquire_or_renew()
 
-    def give_up(self, reason: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Stops giving orders: an engine has seen a newer holder.
 
         Until that one's lease can be over, this host does not ask for it.
         """
-        self.lease.give_up(reason)
+        self.lease.step_down(reason)
         ttl_s = self.lease.contender.ttl_s
         self._resigned_until = clock.now() + ttl_s
         self._try_at = max(self._try_at, self._resigned_until)
 
-    async def rest(self, now: float) -> None:
+    async def mark_idle(self, now: float) -> None:
         """Notes that there is nothing to order, and looks at the lease once.
 
         That is soon after the start and after each rollout: who knows since
--- a/hillthread/coordination/gateway/orders/order_lease.py
+++ b/hillthread/coordination/gateway/orders/order_lease.py
@@ -68,7 +68,7 @@
         self._retry_at = float("-inf")
 
     @property
-    def fencing(self) -> int:
+    def fencing_token(self) -> int:
         """The fencing number of the holder; it rises over restorations too."""
         state = self.contender.state
         return ((state.era or 0) << _OFFSET_BITS) + state.fencing
@@ -87,7 +87,7 @@
         """Returns whether this host may give orders; ask before each."""
         return self.contender.may_act(self._clock())
 
-    async def ensure(self) -> bool:
+    async def acquire_or_renew(self) -> bool:
         """Takes or renews the lease if that is due.
 
         Returns:
@@ -151,7 +151,7 @@
                 extra={
                     "event": "lease_seen",
                     "holder": state.holder,
-                    "fencing": self.fencing,
+                    "fencing": self.fencing_token,
                 },
             )
 
@@ -175,7 +175,7 @@
         state = self.contender.state
         return position_lib.Position(state.era or 0, state.position + 1)
 
-    def give_up(self, reason: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Stops acting, because an engine has seen a newer holder."""
         self.contender.resign()
         _logger.warning(
@@ -226,5 +226,5 @@
         if not was_holder:
             _logger.info(
                 "lease taken",
-                extra={"event": "lease_taken", "fencing": self.fencing},
+                extra={"event": "lease_taken", "fencing": self.fencing_token},
             )
--- a/hillthread/coordination/gateway/orders/rollout_keeper.py
+++ b/hillthread/coordination/gateway/orders/rollout_keeper.py
@@ -22,7 +22,7 @@
 from hillthread.state.targets import target_list
 from hillthread.transport import http1_client
 
-__all__ = ["RolloutKeeper"]
+__all__ = ["RolloutController"]
 
 _TICK_S = 0.1
 # Without anything to order; newly named weights end the pause.
@@ -43,7 +43,7 @@
     members: list[target_list.ListedTarget]
 
 
-class RolloutKeeper:
+class RolloutController:
     """Begins loads while this host has the duty of giving orders.
 
     Attributes:
@@ -64,10 +64,10 @@
         self.site = site
         self.metrics = site.metrics
         self.tasks = tasks
-        self.duty = order_duty.OrderDuty(site, lease, work.source)
+        self.leadership = order_duty.OrderLeadership(site, lease, work.source)
         self.plan = rollout.RolloutPlan()
         self.loader = weights_load.WeightsLoader(
-            site, self.duty, pool, self.plan, work
+            site, self.leadership, pool, self.plan, work
         )
         self._behind = False
         self._load_ended = anyio.Event()
@@ -75,7 +75,7 @@
     @property
     def lease(self) -> order_lease.OrderLease:
         """The lease on giving orders."""
-        return self.duty.lease
+        return self.leadership.lease
 
     @property
     def loading(self) -> Collection[str]:
@@ -110,11 +110,11 @@
         self._behind = bool(waves)
         if not waves:
             if not self.loading:
-                await self.duty.rest(now)
+                await self.leadership.mark_idle(now)
             return
         if not any(self._next(wave, now) for wave in waves):
             return
-        if not await self.duty.take(now):
+        if not await self.leadership.try_acquire(now):
             return
         now = clock.now()
         for wave in waves:
--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -69,13 +69,13 @@
     def __init__(
         self,
         site: site_lib.Site,
-        duty: order_duty.OrderDuty,
+        leadership: order_duty.OrderLeadership,
         pool: http1_client.ConnectionPool,
         plan: rollout.RolloutPlan,
         work: work_feed.WorkFeed,
     ):
         self.site = site
-        self.duty = duty
+        self.leadership = leadership
         self.pool = pool
         self.plan = plan
         self.work = work
@@ -123,7 +123,7 @@
             return rollout.LoadOutcome.HELD
         if not self.plan.reserve_slot(target.name, clock.now()):
             return rollout.LoadOutcome.NO_ROOM
-        if not await self.duty.ensure():
+        if not await self.leadership.acquire_or_renew():
             return rollout.LoadOutcome.NO_LEASE
         try:
             self._tell(target, model, report.born_ms, loading=True)
@@ -158,13 +158,13 @@
         report: targets_lib.EngineReport,
     ) -> _Given | None:
         """Gives an order; returns None when the lease has run out."""
-        lease = self.duty.lease
+        lease = self.leadership.lease
         order = orders.WeightsOrder(
             model,
             self._newest(model),
             STRATEGY,
             self.site.settings.host,
-            lease.fencing,
+            lease.fencing_token,
             report.orders,
         )
         now = clock.now()
@@ -207,7 +207,7 @@
                 self.site.observe_weights(target.name, model, given.version)
                 return self._reached(target, model)
             case orders.OrderAnswer.FENCED:
-                self.duty.give_up("an engine has seen a newer holder")
+                self.leadership.step_down("an engine has seen a newer holder")
                 return rollout.LoadOutcome.NO_LEASE
             case orders.OrderAnswer.OTHER_INCARNATION:
                 return rollout.LoadOutcome.OTHER_INCARNATION
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -68,9 +68,9 @@
     async def ensure(self):
         return True
 
-    order_lease.OrderLease.ensure = ensure
+    order_lease.OrderLease.acquire_or_renew = ensure
     order_lease.OrderLease.may_act = lambda self: True
-    order_lease.OrderLease.fencing = property(lambda self: 1)
+    order_lease.OrderLease.fencing_token = property(lambda self: 1)
 
 
 def says_not_run_always():
--- a/tests/coordination/gateway/orders/test_old_weights.py
+++ b/tests/coordination/gateway/orders/test_old_weights.py
@@ -175,7 +175,9 @@
         async def story(scene):
             (engine,) = scene.engines
             # Another host has the duty of orders, and asks for reports.
-            scene.program.rollout.duty.take = mock.AsyncMock(return_value=False)
+            scene.program.rollout.leadership.try_acquire = mock.AsyncMock(
+                return_value=False
+            )
             engine.weights = 2
             held = scene.site.weights.held_version
             scene.site.weights.update_from_answer("e0", "m", 2)
--- a/tests/coordination/gateway/orders/test_order_lease.py
+++ b/tests/coordination/gateway/orders/test_order_lease.py
@@ -82,16 +82,16 @@
             store = Store()
             clock = Clock()
             lease = order_lease.OrderLease(store, "h1", 0.1, clock)
-            self.assertTrue(await lease.ensure())
+            self.assertTrue(await lease.acquire_or_renew())
             clock.now += lease.contender.act_s * 0.6
             store.refuses = True
             store.calls = 0
             for _ in range(20):
-                self.assertTrue(await lease.ensure())
+                self.assertTrue(await lease.acquire_or_renew())
             self.assertEqual(store.calls, 1)
             store.refuses = False
             clock.now += 0.4
-            self.assertTrue(await lease.ensure())
+            self.assertTrue(await lease.acquire_or_renew())
             self.assertEqual(len(store.records), 2)
 
         anyio.run(story)
@@ -101,11 +101,11 @@
             store = Store()
             clock = Clock()
             lease = order_lease.OrderLease(store, "h1", 0.1, clock)
-            self.assertTrue(await lease.ensure())
+            self.assertTrue(await lease.acquire_or_renew())
             store.refuses = True
             clock.now += lease.contender.act_s + 0.05
             for _ in range(20):
-                self.assertFalse(await lease.ensure())
+                self.assertFalse(await lease.acquire_or_renew())
             self.assertLessEqual(store.calls, 4)
 
         anyio.run(story)
@@ -119,17 +119,17 @@
                 tasks.start_soon(store.server.serve)
                 former = self.lease(store, "h0")
                 successor = self.lease(store, "h1")
-                self.assertTrue(await former.ensure())
+                self.assertTrue(await former.acquire_or_renew())
                 await successor.catch_up()
                 await anyio.sleep(_LAPSE_S)
-                self.assertTrue(await successor.ensure())
+                self.assertTrue(await successor.acquire_or_renew())
                 await anyio.sleep(_KEPT_S)
-                self.assertTrue(await successor.ensure())  # a renewal
+                self.assertTrue(await successor.acquire_or_renew())  # a renewal
                 store.drop_history(_KEPT_S)  # the acquisitions are gone
                 for _ in range(3):
-                    self.assertFalse(await former.ensure())
+                    self.assertFalse(await former.acquire_or_renew())
                     self.assertFalse(former.may_act())
-                    self.assertTrue(await successor.ensure())
+                    self.assertTrue(await successor.acquire_or_renew())
                 tasks.cancel_scope.cancel()
 
         anyio.run(run)
@@ -142,15 +142,15 @@
                 former = self.lease(store, "h0")
                 knowing = self.lease(store, "h1")
                 new = self.lease(store, "h2")
-                self.assertTrue(await former.ensure())
+                self.assertTrue(await former.acquire_or_renew())
                 await knowing.catch_up()
                 await anyio.sleep(_LAPSE_S)
                 store.drop_history(_KEPT_S)
                 await new.catch_up()  # nothing is there to be read
-                self.assertTrue(await knowing.ensure())
-                self.assertFalse(await new.ensure())
+                self.assertTrue(await knowing.acquire_or_renew())
+                self.assertFalse(await new.acquire_or_renew())
                 self.assertFalse(new.may_act())
-                self.assertTrue(await knowing.ensure())
+                self.assertTrue(await knowing.acquire_or_renew())
                 tasks.cancel_scope.cancel()
 
         anyio.run(run)
@@ -181,14 +181,14 @@
 
     # Guards against two holders: one of whom the copy knows nothing.
     async def test_nobody_contends_while_a_lost_acquisition_may_hold(self):
-        self.assertTrue(await self.first.ensure())
+        self.assertTrue(await self.first.acquire_or_renew())
         self.restore(0, self.second)
-        self.assertFalse(await self.second.ensure())
+        self.assertFalse(await self.second.acquire_or_renew())
         self.clock.now += _LAPSE_S - 0.2
-        self.assertFalse(await self.second.ensure())
+        self.assertFalse(await self.second.acquire_or_renew())
         self.clock.now += 0.4
         self.assertFalse(self.first.may_act())
-        self.assertTrue(await self.second.ensure())
+        self.assertTrue(await self.second.acquire_or_renew())
 
     async def test_wait_for_a_lost_acquisition_follows_the_bound(self):
         for pause_s in (1.5, 3.0, 6.0):
@@ -200,42 +200,42 @@
                     )
                     for name in ("h1", "h2")
                 )
-                self.assertTrue(await first.ensure())
+                self.assertTrue(await first.acquire_or_renew())
                 self.restore(0, second)
                 while first.may_act():
-                    self.assertFalse(await second.ensure())
+                    self.assertFalse(await second.acquire_or_renew())
                     self.clock.now += 0.1
                 self.clock.now += pause_s
-                self.assertFalse(await second.ensure())
+                self.assertFalse(await second.acquire_or_renew())
                 self.clock.now += 0.5
-                self.assertTrue(await second.ensure())
+                self.assertTrue(await second.acquire_or_renew())
 
     async def test_holder_stops_and_may_acquire_at_once(self):
-        self.assertTrue(await self.first.ensure())
-        before = self.first.fencing
+        self.assertTrue(await self.first.acquire_or_renew())
+        before = self.first.fencing_token
         self.restore(0, self.first)
         self.assertFalse(self.first.may_act())
-        self.assertTrue(await self.first.ensure())
-        self.assertGreater(self.first.fencing, before)
+        self.assertTrue(await self.first.acquire_or_renew())
+        self.assertGreater(self.first.fencing_token, before)
 
     async def test_holder_whose_time_is_over_waits_as_others_do(self):
-        self.assertTrue(await self.first.ensure())
+        self.assertTrue(await self.first.acquire_or_renew())
         self.clock.now += _LAPSE_S
         self.restore(0, self.first)
-        self.assertFalse(await self.first.ensure())
+        self.assertFalse(await self.first.acquire_or_renew())
 
     # Guards against engines that refuse orders, or obey two holders: offsets
     # are given out again.
     async def test_fencing_number_rises_over_restorations(self):
         for _ in range(5):
-            self.assertTrue(await self.first.ensure())
+            self.assertTrue(await self.first.acquire_or_renew())
             self.clock.now += _KEPT_S * 1.5
-        numbers = [self.first.fencing]
+        numbers = [self.first.fencing_token]
         for kept in (1, 0):
             self.restore(kept, self.first, self.second)
             self.clock.now += _LAPSE_S
-            self.assertTrue(await self.second.ensure())
-            numbers.append(self.second.fencing)
+            self.assertTrue(await self.second.acquire_or_renew())
+            numbers.append(self.second.fencing_token)
         self.assertEqual(numbers, sorted(set(numbers)))
 
     # Guards against an append that the store does after its restoration.
@@ -252,13 +252,13 @@
 
     async def test_process_that_starts_after_the_restoration_waits(self):
         self.store.era = 1
-        self.assertTrue(await self.first.ensure())
+        self.assertTrue(await self.first.acquire_or_renew())
         await self.first.release()
         self.restore(2)
         third = self.lease("h3")
-        self.assertFalse(await third.ensure())
+        self.assertFalse(await third.acquire_or_renew())
         self.clock.now += _LAPSE_S
-        self.assertTrue(await third.ensure())
+        self.assertTrue(await third.acquire_or_renew())
 
 
 class ReleaseTest(unittest.TestCase):
@@ -267,8 +267,10 @@
             store = Store()
             former = order_lease.OrderLease(store, "h0", 30.0)
             successor = order_lease.OrderLease(store, "h1", 30.0)
-            self.assertTrue(await former.ensure())  # it may order until now
+            self.assertTrue(
+                await former.acquire_or_renew()
+            )  # it may order until now
             await former.release()
-            self.assertFalse(await successor.ensure())
+            self.assertFalse(await successor.acquire_or_renew())
 
         anyio.run(run)
--- a/tests/coordination/gateway/orders/test_rollout.py
+++ b/tests/coordination/gateway/orders/test_rollout.py
@@ -181,7 +181,7 @@
             other = order_lease.OrderLease(
                 store_lib.StoreClient(scene.store.address), "h0", 0.3
             )
-            await other.ensure()
+            await other.acquire_or_renew()
 
         scene_lib.play(story, engines=1, plain=0, before=before)
 
@@ -190,11 +190,11 @@
             other = order_lease.OrderLease(
                 scene.program.store, "h0", _LEASE_MS / 1000.0
             )
-            self.assertTrue(await other.ensure())
+            self.assertTrue(await other.acquire_or_renew())
             await scene.program.rollout.lease.catch_up()
             await anyio.sleep(other.contender.act_s * 0.6)
             taken_at = time.monotonic()
-            self.assertTrue(await other.ensure())
+            self.assertTrue(await other.acquire_or_renew())
             self.assertEqual(other.contender.state.position, 1)
             scene.name_weights(2)
             (engine,) = scene.engines
--- a/tests/coordination/gateway/test_bounds_range.py
+++ b/tests/coordination/gateway/test_bounds_range.py
@@ -83,11 +83,11 @@
         clock = test_order_lease.Clock()
         former = order_lease.OrderLease(store, "h0", pause_s, clock)
         successor = order_lease.OrderLease(store, "h1", pause_s, clock)
-        self.assertTrue(await former.ensure())
+        self.assertTrue(await former.acquire_or_renew())
         await former.release()
         ordered_at = clock.now
         waited_s = 0.0
-        while not await successor.ensure():
+        while not await successor.acquire_or_renew():
             clock.now += 0.1
             waited_s = clock.now - ordered_at
         self.assertGreaterEqual(waited_s, pause_s)
@@ -103,9 +103,9 @@
         clock = test_order_lease.Clock()
         former = order_lease.OrderLease(store, "h0", pause_s, clock)
         successor = order_lease.OrderLease(store, "h1", pause_s, clock)
-        self.assertTrue(await former.ensure())
+        self.assertTrue(await former.acquire_or_renew())
         last_order_at = clock.now
-        while not await successor.ensure():
+        while not await successor.acquire_or_renew():
             clock.now += 0.1
             if former.may_act():
                 last_order_at = clock.now
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -362,7 +362,7 @@
                 "keyed.op", "version/m", {"model": "m", "version": 2}
             )
             lease = scene.program.rollout.lease
-            await scene.until(lambda: lease.fencing >= 0)
+            await scene.until(lambda: lease.fencing_token >= 0)
             await scene.until(lambda: not lease.may_act())
             await anyio.sleep(0.3)
             self.assertFalse(lease.may_act())
