--- a/hillthread/bench/policies.py
+++ b/hillthread/bench/policies.py
@@ -62,7 +62,7 @@
         eligible: Sequence[decision_lib.Candidate],
     ) -> decision_lib.Candidate:
         """See the base class."""
-        return min(eligible, key=lambda each: each.load.occupied())
+        return min(eligible, key=lambda each: each.load.count_requests())
 
 
 class PrefixHash(Policy):
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -151,10 +151,10 @@
         self.breakers[name].admit(now)
         beliefs = self.warmth.targets[name]
         predicted = beliefs.lookup(query.levels, now)
-        alone = self.loads[name].occupied() == 0
+        alone = self.loads[name].count_requests() == 0
         self.loads[name].start(
             attempt_id,
-            load.OwnWork(now, decision.expected_prefill),
+            load.LocalPrefill(now, decision.expected_prefill),
         )
         self._offer_share(name, query, decision, now)
         beliefs.expect(query.levels, now)
@@ -181,7 +181,7 @@
             beliefs.epoch = epoch
         if beliefs.epoch != epoch:
             return
-        self.loads[share.target].add_peer_work(share.prefill_tokens, now)
+        self.loads[share.target].add_peer_prefill(share.prefill_tokens, now)
         for level in share.levels:
             beliefs.adopt(level, now)
 
@@ -201,7 +201,7 @@
         if work is None or work.first_token_at is not None:
             return
         work.first_token_at = now
-        self.loads[work.target].first_token(attempt_id, now)
+        self.loads[work.target].note_first_token(attempt_id, now)
         beliefs = self.warmth.targets[work.target]
         beliefs.settle(work.levels)
         beliefs.advance(work.expected_prefill)
@@ -213,9 +213,9 @@
         if work is None:
             return
         computed = usage.prompt_tokens - usage.cached_tokens
-        self.loads[work.target].learn_prefill(computed)
+        self.loads[work.target].learn_mean_prefill(computed)
         if work.alone and work.first_token_at is not None:
-            self.loads[work.target].learn_rate(
+            self.loads[work.target].learn_prefill_rate(
                 computed, work.first_token_at - work.sent_at
             )
         beliefs = self.warmth.targets[work.target]
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -107,7 +107,7 @@
         site = self.learner.site
         for member in site.targets.members(self.planned.pool):
             load = site.state(member.target.name).load
-            load.learn_rate(estimate.read_tokens, reading_s)
+            load.learn_prefill_rate(estimate.read_tokens, reading_s)
 
     def _release(self, now: float, seconds: float | None) -> None:
         self.noted = True
--- a/hillthread/coordination/gateway/serving/pool_view.py
+++ b/hillthread/coordination/gateway/serving/pool_view.py
@@ -148,7 +148,9 @@
             self._fetch_tokens_per_s(scope),
         )
         queued = state.load.queued_tokens(self.now)
-        return first_byte.estimate(needs, queued, state.load.prefill_rate)
+        return first_byte.estimate(
+            needs, queued, state.load.prefill_tokens_per_s
+        )
 
     def _scope(self, name: str) -> str:
         """Returns within which a target finds parts of the prompt again."""
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -204,7 +204,7 @@
         name = self.targets.name_of(notice.engine)
         if name is None:
             return  # not listed here yet, gone, or of an earlier start
-        self.state(name).load.add_peer_work(notice.tokens, now)
+        self.state(name).load.add_peer_prefill(notice.tokens, now)
         self.note_prompt(name, notice)
 
     def take_weights_notice(
--- a/hillthread/state/routing/decision.py
+++ b/hillthread/state/routing/decision.py
@@ -193,8 +193,8 @@
         best.target,
         _reason(query, scored),
         tuple(scored + excluded),
-        best.prefill_s * chosen.load.prefill_rate,
-        best.queue_s * chosen.load.prefill_rate,
+        best.prefill_s * chosen.load.prefill_tokens_per_s,
+        best.queue_s * chosen.load.prefill_tokens_per_s,
     )
 
 
@@ -204,9 +204,9 @@
     prior_tokens = _prior_tokens(query, candidate, rank)
     cached = max(warm.expected_tokens, prior_tokens)
     missing = max(0.0, query.prompt_tokens - cached)
-    queue_s = state.queued_tokens(now) / state.prefill_rate
+    queue_s = state.queued_tokens(now) / state.prefill_tokens_per_s
     queue_s += _crowding_s(candidate)
-    prefill_s = missing / state.prefill_rate
+    prefill_s = missing / state.prefill_tokens_per_s
     recompute_s = query.recompute_weight * prefill_s
     report = state.report
     epoch = candidate.warmth.epoch
@@ -243,7 +243,7 @@
 
 def _crowding_s(candidate: Candidate) -> float:
     """Returns the wait for a free place once all places are taken."""
-    over = candidate.load.occupied() + 1 - candidate.max_running
+    over = candidate.load.count_requests() + 1 - candidate.max_running
     if over <= 0:
         return 0.0
     return over / candidate.max_running * _CROWDED_COST_S
--- a/hillthread/state/targets/target_state.py
+++ b/hillthread/state/targets/target_state.py
@@ -67,7 +67,7 @@
         """Notes an attempt that is about to be sent."""
         self.breaker.admit(now)
         self.open_attempts += 1
-        self.load.start(attempt, load.OwnWork(now, prefill_tokens))
+        self.load.start(attempt, load.LocalPrefill(now, prefill_tokens))
 
     def record_first_byte(
         self, now: float, attempt: str, seconds: float | None
@@ -79,7 +79,7 @@
             attempt: As told to `begin`.
             seconds: How long it took; None when it never began.
         """
-        self.load.first_token(attempt, now)
+        self.load.note_first_token(attempt, now)
         if seconds is None:
             return
         step = _LATENCY_STEP if self.first_byte_s else 1.0
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -441,7 +441,9 @@
             now = time.monotonic()
             for engine in scene.engines:
                 load = scene.site.state(engine.name).load
-                load.add_peer_work(load.prefill_rate, now)  # a second's work
+                load.add_peer_prefill(
+                    load.prefill_tokens_per_s, now
+                )  # a second's work
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertIn(b"queue_too_long", answer.body)
--- a/tests/state/routing/test_decision.py
+++ b/tests/state/routing/test_decision.py
@@ -42,7 +42,7 @@
 
     def test_prior_outweighs_a_short_queue_where_routers_are_silent(self):
         first = decision.decide(query(), self.candidates, 0.0).target
-        self.by_name(first).load.start("a", load.OwnWork(0.0, 900.0))
+        self.by_name(first).load.start("a", load.LocalPrefill(0.0, 900.0))
         alone = decision.decide(query(), self.candidates, 0.0)
         silent = query()._replace(prior=0.7)
         among = decision.decide(silent, self.candidates, 0.0)
@@ -61,7 +61,7 @@
         warm = self.candidates[0]
         warm.warmth.confirm(LEVELS[:1], 0.0)
         for number in range(2):
-            warm.load.start(str(number), load.OwnWork(0.0, 2500.0))
+            warm.load.start(str(number), load.LocalPrefill(0.0, 2500.0))
         spread = decision.decide(query(0.0), self.candidates, 0.0)
         kept = decision.decide(query(5.0), self.candidates, 0.0)
         self.assertNotEqual(spread.target, warm.name)
--- a/tests/state/routing/test_load_of_others.py
+++ b/tests/state/routing/test_load_of_others.py
@@ -93,7 +93,7 @@
             state = each[choice.name]
             state.warm.note("", [(prefix, SHARED)], own, MEMORY)
             if each is not host:
-                state.load.add_peer_work(expected.read_tokens, now)
+                state.load.add_peer_prefill(expected.read_tokens, now)
         done_at = engines[choice.name].read(now, prefix, own)
         reading.append((host, choice.name, str(number), done_at))
         took.append(done_at - now)
