--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -71,7 +71,7 @@
             expected_s=round(estimate.total_s, 4),
             queue_s=round(estimate.queue_s, 4),
             fetch_s=round(estimate.fetch_s, 4),
-            read_tokens=estimate.read_tokens,
+            read_tokens=estimate.prefill_tokens,
         )
         self._release(now, now - self.started)
         self._learn_rate(now - self.started)
@@ -101,13 +101,13 @@
         estimate = self.planned.estimate
         if estimate.queue_s > 0.0:
             return
-        if estimate.read_tokens < _LEAST_READ_TOKENS:
+        if estimate.prefill_tokens < _LEAST_READ_TOKENS:
             return
         reading_s = seconds - estimate.fetch_s - _LEAST_FIRST_BYTE_S
         site = self.learner.site
         for member in site.targets.members(self.planned.pool):
             load = site.state(member.target.name).load
-            load.learn_prefill_rate(estimate.read_tokens, reading_s)
+            load.learn_prefill_rate(estimate.prefill_tokens, reading_s)
 
     def _release(self, now: float, seconds: float | None) -> None:
         self.noted = True
--- a/hillthread/coordination/gateway/serving/pool_view.py
+++ b/hillthread/coordination/gateway/serving/pool_view.py
@@ -144,7 +144,9 @@
         needs = first_byte.PromptNeeds(
             shared_tokens,
             parts[-1].tokens if parts else 0,
-            state.warm.kept_tokens(work_notice.checksum(scope), self.shared),
+            state.warm.count_cached_tokens(
+                work_notice.checksum(scope), self.shared
+            ),
             self._fetch_tokens_per_s(scope),
         )
         queued = state.load.queued_tokens(self.now)
@@ -219,10 +221,10 @@
 def _summary(view: target_choice.TargetView) -> str:
     state = view.exclusion or ("behind" if view.behind else "open")
     text = f"{view.name} {state} running={view.running}"
-    if view.expected is None or not view.expected.read_tokens:
+    if view.expected is None or not view.expected.prefill_tokens:
         return text
     expected = view.expected
     return (
         f"{text} queue={expected.queue_s:.3f} fetch={expected.fetch_s:.3f}"
-        f" read={expected.read_s:.3f}"
+        f" read={expected.prefill_s:.3f}"
     )
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -185,7 +185,7 @@
         sending.state.begin_attempt(
             sending.first_byte.started,
             planned.attempt,
-            planned.estimate.read_tokens,
+            planned.estimate.prefill_tokens,
         )
         self.tools.quotas.charge(self.request)
         self.tools.limits.charge(name)
@@ -257,7 +257,7 @@
         target = planned.plan.target.name
         notice = work_notice.WorkNotice(
             self.site.targets.key_of(target),
-            planned.estimate.read_tokens,
+            planned.estimate.prefill_tokens,
             work_notice.checksum(planned.plan.cache_scope),
             cache_source.shared_parts(self.request),
             parts[-1].tokens,
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -224,7 +224,7 @@
 
     def note_prompt(self, name: str, notice: work_notice.WorkNotice) -> None:
         """Notes that an engine keeps a prompt that is sent to it."""
-        self.state(name).warm.note(
+        self.state(name).warm.add_prompt(
             notice.scope,
             notice.shared,
             notice.own_tokens,
--- a/hillthread/state/routing/first_byte.py
+++ b/hillthread/state/routing/first_byte.py
@@ -23,8 +23,8 @@
     """
 
     shared_tokens: int
-    own_tokens: int
-    kept_tokens: int
+    unshared_tokens: int
+    cached_tokens: int
     fetch_tokens_per_s: float
 
 
@@ -41,14 +41,14 @@
 
     queue_s: float
     fetch_s: float
-    read_s: float
-    read_tokens: int
+    prefill_s: float
+    prefill_tokens: int
     missing_tokens: int
 
     @property
     def total_s(self) -> float:
         """Seconds to the first byte."""
-        return self.queue_s + self.fetch_s + self.read_s
+        return self.queue_s + self.fetch_s + self.prefill_s
 
 
 def estimate(
@@ -61,11 +61,11 @@
         queued_tokens: To be read there before it.
         read_tokens_per_s: How fast the engine reads.
     """
-    missing = needs.shared_tokens - needs.kept_tokens
-    read = needs.own_tokens + missing
+    missing = needs.shared_tokens - needs.cached_tokens
+    read = needs.unshared_tokens + missing
     fetch_s = 0.0
     if missing and needs.fetch_tokens_per_s > read_tokens_per_s:
-        read = needs.own_tokens
+        read = needs.unshared_tokens
         fetch_s = missing / needs.fetch_tokens_per_s
     return Estimate(
         queued_tokens / read_tokens_per_s,
--- a/hillthread/state/routing/warm_prefixes.py
+++ b/hillthread/state/routing/warm_prefixes.py
@@ -39,7 +39,7 @@
     def __len__(self) -> int:
         return len(self._sizes)
 
-    def note(
+    def add_prompt(
         self,
         scope: Hashable,
         shared: Iterable[tuple[str, int]],
@@ -65,7 +65,7 @@
             _, gone = self._sizes.popitem(last=False)
             self.tokens -= gone
 
-    def kept_tokens(
+    def count_cached_tokens(
         self, scope: Hashable, shared: Iterable[tuple[str, int]]
     ) -> int:
         """Returns how many tokens of a prompt are believed to be kept."""
--- a/tests/coordination/gateway/peers/test_work_feed.py
+++ b/tests/coordination/gateway/peers/test_work_feed.py
@@ -46,7 +46,7 @@
             state = other.site.state(engine.name)
             scope = work_notice.checksum(f"tenant-one/m/{engine.weights}")
             shared = [("aa", 300), ("bb", 500)]
-            self.assertEqual(state.warm.kept_tokens(scope, shared), 800)
+            self.assertEqual(state.warm.count_cached_tokens(scope, shared), 800)
             # Plain requests are no engine's work, and short prompts little.
             await scene.call(scene.request("/again/x"))
             await scene.call(scene.prompt("/stream/x"))
@@ -126,7 +126,9 @@
             for engine in scene.engines:
                 state = other.site.state(engine.name)
                 scope = work_notice.checksum(f"tenant-one/m/{engine.weights}")
-                heard.append(state.warm.kept_tokens(scope, [("aa", 300)]))
+                heard.append(
+                    state.warm.count_cached_tokens(scope, [("aa", 300)])
+                )
             self.assertIn(300, heard)
             # Of ten prompts at once most come in one packet.
             self.assertLess(other.work.heard, prompts)
--- a/tests/state/routing/test_first_byte.py
+++ b/tests/state/routing/test_first_byte.py
@@ -26,8 +26,8 @@
 
     def test_what_a_store_has_is_fetched_if_that_is_faster(self):
         fast = expect(fetch_rate=120_000.0)
-        self.assertEqual(fast.read_tokens, 2_000)
+        self.assertEqual(fast.prefill_tokens, 2_000)
         self.assertAlmostEqual(fast.total_s, 0.1)
         slow = expect(fetch_rate=10_000.0)
-        self.assertEqual(slow.read_tokens, 8_000)
+        self.assertEqual(slow.prefill_tokens, 8_000)
         self.assertEqual(slow.fetch_s, 0.0)
--- a/tests/state/routing/test_load_of_others.py
+++ b/tests/state/routing/test_load_of_others.py
@@ -51,7 +51,7 @@
     """Returns how an engine looks to a host."""
     state = states[name]
     needs = first_byte.PromptNeeds(
-        SHARED, own, state.warm.kept_tokens("", [(prefix, SHARED)]), 0.0
+        SHARED, own, state.warm.count_cached_tokens("", [(prefix, SHARED)]), 0.0
     )
     expected = first_byte.estimate(needs, state.load.queued_tokens(now), RATE)
     return target_choice.TargetView(name, "", None, 0, False, True, expected)
@@ -88,12 +88,14 @@
             "",
         )
         expected = _view(host, choice.name, prefix, own, now).expected
-        host[choice.name].begin_attempt(now, str(number), expected.read_tokens)
+        host[choice.name].begin_attempt(
+            now, str(number), expected.prefill_tokens
+        )
         for each in hosts if told else [host]:
             state = each[choice.name]
-            state.warm.note("", [(prefix, SHARED)], own, MEMORY)
+            state.warm.add_prompt("", [(prefix, SHARED)], own, MEMORY)
             if each is not host:
-                state.load.add_peer_prefill(expected.read_tokens, now)
+                state.load.add_peer_prefill(expected.prefill_tokens, now)
         done_at = engines[choice.name].read(now, prefix, own)
         reading.append((host, choice.name, str(number), done_at))
         took.append(done_at - now)
