--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -196,10 +196,10 @@
     ) -> target_choice.Choice:
         if not request.prompt.parts:
             views = [look.view(name) for name in names]
-            return target_choice.choose_plain(
+            return target_choice.choose_least_busy(
                 request.request_id, views, self.site.settings.data_centre
             )
-        weights = target_choice.EngineWeights(
+        weights = target_choice.EngineCosts(
             _BEHIND_S, _COPY_S, _CROSSING_S, _CONNECTING_S
         )
         return target_choice.choose_engine(
--- a/hillthread/state/routing/target_choice.py
+++ b/hillthread/state/routing/target_choice.py
@@ -22,7 +22,7 @@
     "Exclusion",
     "TargetView",
     "choose_engine",
-    "choose_plain",
+    "choose_least_busy",
 ]
 
 
@@ -75,7 +75,7 @@
     reason: str
 
 
-class EngineWeights(NamedTuple):
+class EngineCosts(NamedTuple):
     """What weighs how much in the choice of an engine.
 
     Attributes:
@@ -86,10 +86,10 @@
         connecting_s: The same for an engine to which no connection is kept.
     """
 
-    behind_s: float
-    copy_s: float
-    crossing_s: float
-    connecting_s: float = 0.0
+    old_weights_s: float
+    copy_s_per_token: float
+    other_data_centre_s: float
+    new_connection_s: float = 0.0
 
 
 # Engines looked at for one prompt, of those that can be taken: each look takes
@@ -103,7 +103,7 @@
     key: bytes,
     names: Sequence[str],
     view_of: Callable[[str], TargetView],
-    weights: EngineWeights,
+    weights: EngineCosts,
     data_centre: str,
 ) -> Choice:
     """Returns the engine for a prompt: the one that costs least.
@@ -135,7 +135,7 @@
     return Choice(name, rank, "warm" if rank == 0 else _reason(first))
 
 
-def choose_plain(
+def choose_least_busy(
     key: str, views: Sequence[TargetView], data_centre: str
 ) -> Choice:
     """Returns the target of a plain service.
@@ -161,20 +161,20 @@
 
 
 def _engine_cost(
-    view: TargetView, rank: int, weights: EngineWeights, data_centre: str
+    view: TargetView, rank: int, weights: EngineCosts, data_centre: str
 ) -> float:
     """Returns what an engine costs, in seconds of first-byte time."""
     if view.expected is None:
         return float("inf")
     cost = view.expected.total_s
     if view.behind:
-        cost += weights.behind_s
+        cost += weights.old_weights_s
     if rank:
-        cost += view.expected.missing_tokens * weights.copy_s
+        cost += view.expected.missing_tokens * weights.copy_s_per_token
     if view.data_centre != data_centre:
-        cost += weights.crossing_s
+        cost += weights.other_data_centre_s
     if not view.has_connection:
-        cost += weights.connecting_s
+        cost += weights.new_connection_s
     return cost
 
 
--- a/tests/state/routing/test_load_of_others.py
+++ b/tests/state/routing/test_load_of_others.py
@@ -29,7 +29,7 @@
 PER_S = 12.0
 LENGTH_S = 10.0
 AIM_S = 0.6
-WEIGHTS = target_choice.EngineWeights(0.3, 1.0 / 50_000.0, 0.0)
+WEIGHTS = target_choice.EngineCosts(0.3, 1.0 / 50_000.0, 0.0)
 
 
 class _Engine:
--- a/tests/state/routing/test_target_choice.py
+++ b/tests/state/routing/test_target_choice.py
@@ -31,7 +31,9 @@
     def setUp(self):
         self.order = placement.rank_by_rendezvous(b"prefix", NAMES)
 
-    def choose(self, behind_s=0.0, crossing_s=0.0, shared=SHARED, **first):
+    def choose(
+        self, old_weights_s=0.0, other_data_centre_s=0.0, shared=SHARED, **first
+    ):
         """Returns the choice when the first-ranked engine looks so.
 
         It keeps the prefix, and no other does.
@@ -39,7 +41,9 @@
         views = {name: view(name, shared=shared) for name in NAMES}
         first = {"kept": shared, "shared": shared, **first}
         views[self.order[0]] = view(self.order[0], **first)
-        weights = target_choice.EngineWeights(behind_s, COPY_S, crossing_s)
+        weights = target_choice.EngineCosts(
+            old_weights_s, COPY_S, other_data_centre_s
+        )
         return target_choice.choose_engine(
             b"prefix", NAMES, views.__getitem__, weights, "here"
         )
@@ -64,7 +68,7 @@
             b"prefix",
             NAMES,
             views.__getitem__,
-            target_choice.EngineWeights(0.0, COPY_S, 0.0),
+            target_choice.EngineCosts(0.0, COPY_S, 0.0),
             "here",
         )
         self.assertEqual(choice.rank, 2)
@@ -72,9 +76,9 @@
     def test_other_data_centre_costs_as_much_as_told(self):
         away = {"data_centre": "there", "shared": 200}
         self.assertEqual(self.choose(**away).rank, 0)
-        self.assertEqual(self.choose(crossing_s=0.05, **away).rank, 1)
+        self.assertEqual(self.choose(other_data_centre_s=0.05, **away).rank, 1)
         away["shared"] = SHARED
-        self.assertEqual(self.choose(crossing_s=0.05, **away).rank, 0)
+        self.assertEqual(self.choose(other_data_centre_s=0.05, **away).rank, 0)
 
     def test_excluded_target_is_not_taken(self):
         lost = target_choice.Exclusion.UNREACHABLE
@@ -84,5 +88,5 @@
 
     def test_old_weights_cost_as_much_as_told(self):
         old = {"behind": True, "kept": 0}
-        self.assertEqual(self.choose(behind_s=0.0, **old).rank, 0)
-        self.assertEqual(self.choose(behind_s=0.3, **old).rank, 1)
+        self.assertEqual(self.choose(old_weights_s=0.0, **old).rank, 0)
+        self.assertEqual(self.choose(old_weights_s=0.3, **old).rank, 1)
