--- a/hillthread/bench/compare.py
+++ b/hillthread/bench/compare.py
@@ -256,7 +256,7 @@
         if request.first_token_at is None:
             request.first_token_at = self.clock.now
         fleet = self.fleets[request.router]
-        epoch = warmth.Epoch(str(self.incarnations[name]), "w")
+        epoch = warmth.CacheEpoch(str(self.incarnations[name]), "w")
         fleet.observe_epoch(name, epoch)
         fleet.first_token(job.job_id, self.clock.now)
 
--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -33,7 +33,7 @@
 
     target: objects.Target
     attempt: records.AttemptRecord
-    epoch: warmth.Epoch | None
+    epoch: warmth.CacheEpoch | None
     must_echo: bool
     strict_incarnation: bool = False
 
@@ -74,7 +74,7 @@
 
     def _learn_epoch(
         self, response: target_client.TargetResponse, expected: Expectation
-    ) -> warmth.Epoch | None:
+    ) -> warmth.CacheEpoch | None:
         name = expected.target.name
         if engine.INCARNATION not in response.headers:
             return None
@@ -114,7 +114,7 @@
             self.fleet.backoffs.apply(target, seconds, clock.now())
 
     def _check_epoch(
-        self, epoch: warmth.Epoch | None, expected: Expectation
+        self, epoch: warmth.CacheEpoch | None, expected: Expectation
     ) -> None:
         if epoch is None or expected.epoch is None:
             return
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -247,7 +247,9 @@
     def _take_load(self, message: messages.TargetLoad) -> None:
         fleet = self.router.fleet
         if message.incarnation:
-            epoch = warmth.Epoch(message.incarnation, message.weights_version)
+            epoch = warmth.CacheEpoch(
+                message.incarnation, message.weights_version
+            )
             fleet.observe_epoch(message.target, epoch)
         fleet.report(
             message.target,
--- a/hillthread/coordination/engine_roster.py
+++ b/hillthread/coordination/engine_roster.py
@@ -35,7 +35,7 @@
         self.data_centre = data_centre
         self.keeper = keeper
         self.members = members
-        self.epochs: dict[str, warmth.Epoch] = {}
+        self.epochs: dict[str, warmth.CacheEpoch] = {}
         self.seen_at: dict[str, float] = {}
         self._all: list[objects.Target] = []
         self._all_position = _NEVER
@@ -78,7 +78,7 @@
         now = clock.now()
         for load in message.loads:
             self.seen_at[load.target] = now
-            self.epochs[load.target] = warmth.Epoch(
+            self.epochs[load.target] = warmth.CacheEpoch(
                 load.incarnation, load.weights_version
             )
 
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -130,7 +130,7 @@
         self, query: decision_lib.Query, placement: Placement, now: float
     ) -> decision_lib.Decision:
         """Returns the decision for one attempt."""
-        query = query._replace(prior=self._prior())
+        query = query._replace(prior_probability=self._prior())
         candidates = [
             self._candidate(target, placement, now)
             for target in placement.targets
@@ -157,7 +157,7 @@
             load.LocalPrefill(now, decision.expected_prefill),
         )
         self._offer_share(name, query, decision, now)
-        beliefs.expect(query.levels, now)
+        beliefs.add_pending(query.levels, now)
         self.work[attempt_id] = _Work(
             name,
             query.levels,
@@ -176,16 +176,16 @@
         beliefs = self.warmth.targets.get(share.target)
         if beliefs is None:
             return
-        epoch = warmth.Epoch(share.incarnation, share.weights_version)
+        epoch = warmth.CacheEpoch(share.incarnation, share.weights_version)
         if beliefs.epoch is None:
             beliefs.epoch = epoch
         if beliefs.epoch != epoch:
             return
         self.loads[share.target].add_peer_prefill(share.prefill_tokens, now)
         for level in share.levels:
-            beliefs.adopt(level, now)
+            beliefs.add_from_peer(level, now)
 
-    def observe_epoch(self, name: str, epoch: warmth.Epoch) -> bool:
+    def observe_epoch(self, name: str, epoch: warmth.CacheEpoch) -> bool:
         """Notes the epoch a target named; returns whether it is another.
 
         All beliefs of the former epoch are dropped.
@@ -203,8 +203,8 @@
         work.first_token_at = now
         self.loads[work.target].note_first_token(attempt_id, now)
         beliefs = self.warmth.targets[work.target]
-        beliefs.settle(work.levels)
-        beliefs.advance(work.expected_prefill)
+        beliefs.remove_pending(work.levels)
+        beliefs.advance_clock(work.expected_prefill)
         beliefs.confirm(work.levels, now)
 
     def learn_usage(self, attempt_id: str, usage: Usage, now: float) -> None:
@@ -219,10 +219,10 @@
                 computed, work.first_token_at - work.sent_at
             )
         beliefs = self.warmth.targets[work.target]
-        beliefs.advance(
+        beliefs.advance_clock(
             usage.completion_tokens + computed - work.expected_prefill
         )
-        beliefs.learn(work.predicted, usage.cached_tokens)
+        beliefs.learn_horizon(work.predicted, usage.cached_tokens)
         beliefs.confirm(work.levels, now)
 
     def finish(self, attempt_id: str) -> None:
@@ -232,7 +232,7 @@
             return
         self.loads[work.target].finish(attempt_id)
         if work.first_token_at is None:
-            self.warmth.targets[work.target].settle(work.levels)
+            self.warmth.targets[work.target].remove_pending(work.levels)
 
     def report(self, name: str, report: load.LoadReport) -> None:
         """Takes in a load report of a target."""
@@ -241,7 +241,7 @@
         self.loads[name].update(report)
         beliefs = self.warmth.targets[name]
         if report.cache_tokens and beliefs.clock == 0.0:
-            beliefs.horizon = float(report.cache_tokens)
+            beliefs.eviction_horizon_tokens = float(report.cache_tokens)
         beliefs.clock = max(beliefs.clock, report.inserted_tokens)
 
     def retry_budget(self, pool: objects.Pool) -> retry_budget.RetryBudget:
--- a/hillthread/coordination/share_outbox.py
+++ b/hillthread/coordination/share_outbox.py
@@ -62,7 +62,7 @@
     def offer(
         self,
         target: str,
-        epoch: warmth.Epoch,
+        epoch: warmth.CacheEpoch,
         prefill_tokens: int,
         levels: Sequence[prompt.PrefixLevel],
         now: float,
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -211,7 +211,8 @@
         if not incarnation and expected.epoch is not None:
             incarnation, weights = expected.epoch
         again = expected._replace(
-            epoch=warmth.Epoch(incarnation, weights), strict_incarnation=True
+            epoch=warmth.CacheEpoch(incarnation, weights),
+            strict_incarnation=True,
         )
         for number in range(_RESUMES):
             await anyio.sleep(_RESUME_PAUSE_S * (number + 1))
--- a/hillthread/protocol/engine.py
+++ b/hillthread/protocol/engine.py
@@ -98,9 +98,9 @@
     return AnswerUsage(usage.prompt_tokens, usage.completion_tokens, cached)
 
 
-def epoch_of(headers: Any) -> warmth.Epoch:
+def epoch_of(headers: Any) -> warmth.CacheEpoch:
     """Returns the epoch an engine names in the headers of an answer."""
-    return warmth.Epoch(
+    return warmth.CacheEpoch(
         headers.get(INCARNATION, ""), headers.get(WEIGHTS_VERSION, "")
     )
 
--- a/hillthread/state/routing/decision.py
+++ b/hillthread/state/routing/decision.py
@@ -81,7 +81,7 @@
     prompt_tokens: int
     recompute_weight: float
     affinity: bytes
-    prior: float = 0.0
+    prior_probability: float = 0.0
 
 
 class Candidate(NamedTuple):
@@ -238,7 +238,7 @@
     if shared.tokens < _MIN_SHARED_TOKENS:
         return 0.0
     share = 1.0 if rank == 0 else _SECOND_RANK_SHARE
-    return shared.tokens * query.prior * share
+    return shared.tokens * query.prior_probability * share
 
 
 def _crowding_s(candidate: Candidate) -> float:
--- a/hillthread/state/routing/warmth.py
+++ b/hillthread/state/routing/warmth.py
@@ -14,7 +14,7 @@
 
 from hillthread.state.routing import prompt
 
-__all__ = ["Epoch", "TargetWarmth", "WarmPrefix", "WarmthTable"]
+__all__ = ["CacheEpoch", "TargetWarmth", "WarmPrefix", "WarmthTable"]
 
 # Bound on memory; docs/MEASUREMENTS.md has 158 bytes a level.
 _MAX_LEVELS_PER_TARGET = 4096
@@ -33,7 +33,7 @@
 _PENDING_PROBABILITY = 0.95
 
 
-class Epoch(NamedTuple):
+class CacheEpoch(NamedTuple):
     """Under which a target's cache is valid.
 
     Attributes:
@@ -94,9 +94,9 @@
     """
 
     def __init__(self, cache_tokens: float):
-        self.epoch: Epoch | None = None
+        self.epoch: CacheEpoch | None = None
         self.clock = 0.0
-        self.horizon = float(cache_tokens)
+        self.eviction_horizon_tokens = float(cache_tokens)
         self.levels: collections.OrderedDict[bytes, _Level] = (
             collections.OrderedDict()
         )
@@ -123,13 +123,15 @@
                 best = found
         return best
 
-    def expect(self, levels: Sequence[prompt.PrefixLevel], now: float) -> None:
+    def add_pending(
+        self, levels: Sequence[prompt.PrefixLevel], now: float
+    ) -> None:
         """Notes that a request with these levels was sent to the target."""
         for level in levels:
             entry = self._entry(level, now)
             entry.pending += 1
 
-    def settle(self, levels: Sequence[prompt.PrefixLevel]) -> None:
+    def remove_pending(self, levels: Sequence[prompt.PrefixLevel]) -> None:
         """Ends what `expect` noted, without an answer having come."""
         for level in levels:
             entry = self.levels.get(level.digest)
@@ -148,11 +150,11 @@
             entry.confirmed = True
         self._bound()
 
-    def adopt(self, level: prompt.PrefixLevel, now: float) -> None:
+    def add_from_peer(self, level: prompt.PrefixLevel, now: float) -> None:
         """Notes a level that another router has put into the cache."""
         self.confirm((level,), now)
 
-    def learn(self, predicted: WarmPrefix, cached_tokens: int) -> None:
+    def learn_horizon(self, predicted: WarmPrefix, cached_tokens: int) -> None:
         """Learns how long entries live, from a prediction that was tested.
 
         Args:
@@ -163,16 +165,18 @@
             return
         distance = predicted.distance
         if cached_tokens >= predicted.tokens * _HIT_SHARE:
-            if distance > self.horizon * _SURE_SHARE:
-                self.horizon += _HORIZON_STEP * distance
-        elif distance < self.horizon:
-            self.horizon += _HORIZON_STEP * (distance - self.horizon)
+            if distance > self.eviction_horizon_tokens * _SURE_SHARE:
+                self.eviction_horizon_tokens += _HORIZON_STEP * distance
+        elif distance < self.eviction_horizon_tokens:
+            self.eviction_horizon_tokens += _HORIZON_STEP * (
+                distance - self.eviction_horizon_tokens
+            )
 
-    def advance(self, inserted_tokens: float) -> None:
+    def advance_clock(self, inserted_tokens: float) -> None:
         """Moves the clock on by tokens newly put into the cache."""
         self.clock += inserted_tokens
 
-    def doubt(self) -> None:
+    def mark_unconfirmed(self) -> None:
         """Marks all levels unconfirmed, after a gap in what is known."""
         for entry in self.levels.values():
             entry.confirmed = False
@@ -196,7 +200,7 @@
     def _probability(self, entry: _Level) -> float:
         if entry.clock < 0:
             return _PENDING_PROBABILITY if entry.pending else 0.0
-        used = (self.clock - entry.clock) / self.horizon
+        used = (self.clock - entry.clock) / self.eviction_horizon_tokens
         alive = (_GONE_SHARE - used) / (_GONE_SHARE - _SURE_SHARE)
         alive = min(1.0, max(0.0, alive))
         if not entry.confirmed:
@@ -219,7 +223,7 @@
             found = self.targets[name] = TargetWarmth(cache_tokens)
         return found
 
-    def enter_epoch(self, name: str, epoch: Epoch) -> bool:
+    def enter_epoch(self, name: str, epoch: CacheEpoch) -> bool:
         """Drops all beliefs on `name` if `epoch` is a new one.
 
         Returns:
--- a/tests/coordination/test_fleet.py
+++ b/tests/coordination/test_fleet.py
@@ -12,7 +12,7 @@
 from hillthread.state.routing import warmth
 
 POOL = objects.Pool(name="p", target_selector="", max_inflight=2, eject_after=1)
-EPOCH = warmth.Epoch("i1", "w1")
+EPOCH = warmth.CacheEpoch("i1", "w1")
 
 
 def make_target(name, **fields):
@@ -90,7 +90,7 @@
 
     def test_continuing_needs_the_same_weights(self):
         self.choose()
-        self.fleet.observe_epoch("t0", warmth.Epoch("i", "w2"))
+        self.fleet.observe_epoch("t0", warmth.CacheEpoch("i", "w2"))
         found = self.choose(weights_version="w1")
         self.assertEqual(found.target, "t1")
 
@@ -128,7 +128,7 @@
         self.fleet.track(target)
         self.fleet.observe_epoch("t0", EPOCH)
         self.report("t0", 5_000_000.0)
-        self.fleet.observe_epoch("t0", warmth.Epoch("i2", "w1"))
+        self.fleet.observe_epoch("t0", warmth.CacheEpoch("i2", "w1"))
         self.report("t0", 1_000.0)
         beliefs = self.fleet.warmth.targets["t0"]
         beliefs.confirm(QUERY.levels, 0.0)
@@ -139,7 +139,7 @@
         self.fleet.track(self.targets[0])
         self.fleet.observe_epoch("t0", EPOCH)
         self.report("t0", 5_000_000.0)
-        self.fleet.observe_epoch("t0", warmth.Epoch("i1", "w2"))
+        self.fleet.observe_epoch("t0", warmth.CacheEpoch("i1", "w2"))
         beliefs = self.fleet.warmth.targets["t0"]
         beliefs.confirm(QUERY.levels, 0.0)
         self.report("t0", 5_000_000.0)
--- a/tests/coordination/test_order_keeper.py
+++ b/tests/coordination/test_order_keeper.py
@@ -35,7 +35,9 @@
     def __init__(self, targets):
         self.targets = targets
         self.engines = self
-        self.epochs = {each.name: warmth.Epoch("i1", HELD) for each in targets}
+        self.epochs = {
+            each.name: warmth.CacheEpoch("i1", HELD) for each in targets
+        }
         self.seen_at = {each.name: 0.0 for each in targets}
 
     def all(self):
--- a/tests/state/routing/test_decision.py
+++ b/tests/state/routing/test_decision.py
@@ -44,7 +44,7 @@
         first = decision.decide(query(), self.candidates, 0.0).target
         self.by_name(first).load.start("a", load.LocalPrefill(0.0, 900.0))
         alone = decision.decide(query(), self.candidates, 0.0)
-        silent = query()._replace(prior=0.7)
+        silent = query()._replace(prior_probability=0.7)
         among = decision.decide(silent, self.candidates, 0.0)
         self.assertNotEqual(alone.target, first)
         self.assertEqual(among.target, first)
--- a/tests/state/routing/test_warmth.py
+++ b/tests/state/routing/test_warmth.py
@@ -11,7 +11,7 @@
     prompt.PrefixLevel(b"c" * 16, 3100),
 )
 OTHER = (*LEVELS[:2], prompt.PrefixLevel(b"d" * 16, 3200))
-EPOCH = warmth.Epoch("i1", "w1")
+EPOCH = warmth.CacheEpoch("i1", "w1")
 
 
 class WarmthTest(unittest.TestCase):
@@ -28,7 +28,10 @@
         self.assertEqual(found.age_s, 2.0)
 
     def test_new_incarnation_drops_all(self):
-        for epoch in (warmth.Epoch("i2", "w1"), warmth.Epoch("i2", "w2")):
+        for epoch in (
+            warmth.CacheEpoch("i2", "w1"),
+            warmth.CacheEpoch("i2", "w2"),
+        ):
             self.beliefs.confirm(LEVELS, 1.0)
             self.assertTrue(self.table.enter_epoch("t", epoch))
             self.assertEqual(self.beliefs.lookup(LEVELS, 2.0).tokens, 0)
@@ -38,40 +41,40 @@
         self.assertEqual(self.beliefs.lookup(OTHER, 3.0).tokens, 3000)
 
     def test_inserted_tokens_make_entries_cold(self):
-        self.beliefs.advance(9_900)
+        self.beliefs.advance_clock(9_900)
         doubtful = self.beliefs.lookup(OTHER, 3.0).probability
         self.assertTrue(0 < doubtful < 1)
-        self.beliefs.advance(9_900)
+        self.beliefs.advance_clock(9_900)
         self.assertEqual(self.beliefs.lookup(OTHER, 3.0).probability, 0)
 
     def test_gap_halves_confidence_until_confirmed(self):
-        self.beliefs.doubt()
+        self.beliefs.mark_unconfirmed()
         self.assertLess(self.beliefs.lookup(OTHER, 3.0).probability, 1.0)
         self.beliefs.confirm(OTHER, 4.0)
         self.assertEqual(self.beliefs.lookup(OTHER, 4.0).probability, 1.0)
 
     def test_pending_is_warm_and_failure_takes_it_back(self):
         cold = self.table.target("u", 10_000)
-        cold.expect(LEVELS, 1.0)
+        cold.add_pending(LEVELS, 1.0)
         self.assertTrue(cold.lookup(OTHER, 1.0).pending)
-        cold.settle(LEVELS)
+        cold.remove_pending(LEVELS)
         self.assertEqual(cold.lookup(OTHER, 1.0).tokens, 0)
 
     def test_misses_shorten_the_horizon_and_hits_lengthen_it(self):
-        self.beliefs.advance(5_000)
+        self.beliefs.advance_clock(5_000)
         predicted = self.beliefs.lookup(OTHER, 2.0)
-        self.beliefs.learn(predicted, 0)
-        shortened = self.beliefs.horizon
+        self.beliefs.learn_horizon(predicted, 0)
+        shortened = self.beliefs.eviction_horizon_tokens
         self.assertLess(shortened, 10_000)
-        self.beliefs.advance(shortened - 5_000)
+        self.beliefs.advance_clock(shortened - 5_000)
         predicted = self.beliefs.lookup(OTHER, 3.0)
-        self.beliefs.learn(predicted, 3_000)
-        self.assertGreater(self.beliefs.horizon, shortened)
+        self.beliefs.learn_horizon(predicted, 3_000)
+        self.assertGreater(self.beliefs.eviction_horizon_tokens, shortened)
 
     def test_the_requests_own_end_teaches_nothing(self):
         """A prompt's last level is never cached before its first request."""
         for _ in range(50):
             predicted = self.beliefs.lookup(OTHER, 2.0)
             self.beliefs.confirm(OTHER, 2.0)
-            self.beliefs.learn(predicted, 3_000)
-        self.assertGreaterEqual(self.beliefs.horizon, 10_000)
+            self.beliefs.learn_horizon(predicted, 3_000)
+        self.assertGreaterEqual(self.beliefs.eviction_horizon_tokens, 10_000)
