--- a/hillthread/coordination/exchange.py
+++ b/hillthread/coordination/exchange.py
@@ -87,7 +87,7 @@
 
     def run_state(self) -> errors.RunState:
         """Returns whether a target ran the request, from all attempts."""
-        return records.run_state(self.record.attempts)
+        return records.infer_run_state(self.record.attempts)
 
     async def begin_answer(
         self, status: int, headers: list[tuple[bytes, bytes]]
--- a/hillthread/coordination/gateway/serving/cache_watch.py
+++ b/hillthread/coordination/gateway/serving/cache_watch.py
@@ -50,14 +50,14 @@
     ) -> bool:
         """Returns whether a store may lack one of some parts."""
         contents = self.contents.get(address)
-        if contents is None or not contents.known:
+        if contents is None or not contents.is_known:
             return True
         return not all(contents.holds(part, tokens) for part, tokens in parts)
 
     def is_reachable(self, address: str) -> bool:
         """Returns whether a store is worth asking; true until it is known."""
         contents = self.contents.get(address)
-        return contents is None or contents.reachable
+        return contents is None or contents.is_answering
 
     async def run(self) -> None:
         """Follows all stores of the configuration until cancelled."""
@@ -86,7 +86,7 @@
                 if self._take_failure(address, error):
                     await anyio.sleep(_PAUSE_S * random.uniform(1.0, 2.0))
                 continue
-            if not contents.reachable:
+            if not contents.is_answering:
                 self._log("cache_back", address, "answers again")
             if contents.epoch is not None and page.epoch != contents.epoch:
                 self._log("cache_lost", address, "restarted")
@@ -104,22 +104,22 @@
         where the last answer ended.
         """
         contents = self.contents[address]
-        was_reachable = contents.reachable
+        was_reachable = contents.is_answering
         if isinstance(error, errors.BusyError):
             contents.note_answer()
         else:
             contents.note_failure()
-            if was_reachable and contents.reachable:
+            if was_reachable and contents.is_answering:
                 self._log("cache_read_lost", address, error.message)
                 return False
-        if contents.known or was_reachable != contents.reachable:
+        if contents.is_known or was_reachable != contents.is_answering:
             self._log(
                 "cache_lost",
                 address,
                 error.message,
-                reachable=contents.reachable,
+                reachable=contents.is_answering,
             )
-        contents.forget()
+        contents.reset()
         return True
 
     def _log(self, event: str, address: str, reason: str, **fields) -> None:
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -288,7 +288,7 @@
         if record.outcome == "running":
             record.outcome = "left"
         if record.outcome in ("answered", "left"):
-            record.run = records.run_state(record.attempts)
+            record.run = records.infer_run_state(record.attempts)
         self.metrics.requests.labels(record.outcome, record.code).inc()
         if record.route:
             self.finished(record)
--- a/hillthread/state/routing/cache_contents.py
+++ b/hillthread/state/routing/cache_contents.py
@@ -52,8 +52,8 @@
     def __init__(self):
         self.epoch: int | None = None
         self.position = 0
-        self.known = False
-        self.reachable = True
+        self.is_known = False
+        self.is_answering = True
         self._failures = 0
         self._tokens: dict[CachedPart, int] = {}
 
@@ -79,7 +79,7 @@
             self._tokens.clear()
         self.epoch = epoch
         self.position = position
-        self.known = True
+        self.is_known = True
         self.note_answer()
         for event in events:
             if event.tokens > 0:
@@ -89,18 +89,18 @@
 
     def note_answer(self) -> None:
         """Notes that the cache answered, if only that it is busy."""
-        self.reachable = True
+        self.is_answering = True
         self._failures = 0
 
     def note_failure(self) -> None:
         """Notes that the cache did not answer; one call may be lost."""
         self._failures += 1
         if self._failures >= _LOST_AFTER:
-            self.reachable = False
+            self.is_answering = False
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Notes that the cache cannot be asked any more."""
-        self.known = False
+        self.is_known = False
         self._tokens.clear()
         self.position = 0
         self.epoch = None
--- a/hillthread/state/routing/records.py
+++ b/hillthread/state/routing/records.py
@@ -16,7 +16,7 @@
     "AttemptState",
     "RecordStore",
     "RequestRecord",
-    "run_state",
+    "infer_run_state",
     "trim_decision",
 ]
 
@@ -148,7 +148,7 @@
         return reversed(self._records.values())
 
 
-def run_state(attempts: Sequence[AttemptRecord]) -> errors.RunState:
+def infer_run_state(attempts: Sequence[AttemptRecord]) -> errors.RunState:
     """Returns whether a target ran a request, from all its attempts.
 
     It was not run only if every attempt ended unsent or was refused by a
--- a/tests/coordination/gateway/scene.py
+++ b/tests/coordination/gateway/scene.py
@@ -242,7 +242,7 @@
     scene.configure(services=services)
     caches = scene.program.gateway.dispatcher.chooser.caches.watch
     await scene.until(
-        lambda: sum(c.known for c in caches.contents.values()) == count
+        lambda: sum(c.is_known for c in caches.contents.values()) == count
     )
     return stores
 
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -263,7 +263,7 @@
             scene.stop_listening(gone)
             caches = scene.program.gateway.dispatcher.chooser.caches.watch
             await scene.until(
-                lambda: not caches.contents[gone.address].reachable
+                lambda: not caches.contents[gone.address].is_answering
             )
             for number in range(12):
                 parts = f"aa:300,{number:x}b:500,cc:100"
@@ -273,7 +273,7 @@
             self.assertEqual(set(sources(scene)), {other.address})
             scene.stop_listening(other)
             await scene.until(
-                lambda: not caches.contents[other.address].reachable
+                lambda: not caches.contents[other.address].is_answering
             )
             await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(sources(scene)[-1], "")
--- a/tests/coordination/gateway/serving/test_silent_connections.py
+++ b/tests/coordination/gateway/serving/test_silent_connections.py
@@ -181,7 +181,9 @@
             (cache,) = await scene_lib.keep_caches(scene, 1)
             caches = scene.program.gateway.dispatcher.chooser.caches.watch
             scene.scopes[cache.name].cancel()
-            await scene.until(lambda: not caches.contents[cache.address].known)
+            await scene.until(
+                lambda: not caches.contents[cache.address].is_known
+            )
 
         scene_lib.play(story, engines=1)
 
