--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -72,7 +72,7 @@
         to read that costs a call of each host. Those that would follow it read
         on: how long the lease lasts counts from when its last record was read.
         """
-        rank = self.hosts.rank_among_all(_DUTY)
+        rank = self.hosts.get_duty_rank(_DUTY)
         if self.lease.is_holder or rank < succession.WATCHING_HOSTS:
             return False
         return now - self.site.load_told_at < _SILENCE_S
@@ -115,14 +115,14 @@
         if now < self._look_at:
             return
         self._look_at = now + _LOOK_AFTER_S  # again if it cannot be read
-        looks = self.hosts.rank_among_all(_DUTY) < _LOOKING_HOSTS
+        looks = self.hosts.get_duty_rank(_DUTY) < _LOOKING_HOSTS
         if looks and not self.lease.is_holder:
             await self.lease.catch_up()
         self._look_at = _NEVER
 
     def _standing(self) -> succession.Standing:
         return succession.Standing(
-            self.hosts.rank_among_all(_DUTY),
+            self.hosts.get_duty_rank(_DUTY),
             self.lease.is_holder,
             self.lease.has_holder,
             self.lease.contender.contend_at,
--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -89,7 +89,7 @@
     ):
         self.site = site
         self.source = source
-        self.gatherer = gatherer.GathererChoice(source)
+        self.gatherer = gatherer.GathererSelector(source)
         self.told = 0
         self.heard = 0
         self.heard_of_suspects: Callable[[work_notice.SuspectNotice], None] = (
@@ -249,15 +249,17 @@
         departures: Sequence[work_notice.DepartureNotice] = (),
     ) -> None:
         """Tells all hosts, those elsewhere through one of their data centre."""
-        receivers = notice_route.receivers(
+        receivers = notice_route.choose_receivers(
             self.source.name,
             self.source.data_centre,
             self.source.hosts.values(),
             random.choice,
         )
         uses = work_notice.PacketUse
-        for use, passes_on in ((uses.TAKE, False), (uses.PASS_ON, True)):
-            hosts = [r.host for r in receivers if r.passes_on is passes_on]
+        for use, is_forwarder in ((uses.TAKE, False), (uses.PASS_ON, True)):
+            hosts = [
+                r.host for r in receivers if r.is_forwarder is is_forwarder
+            ]
             packet = work_notice.Packet(
                 use,
                 list(work),
@@ -333,10 +335,10 @@
         own_usage, others_usage = self._usage_to_hand_on()
         uses = work_notice.PacketUse
         for packet in work_notice.packets(uses.SPREAD, own, own_usage):
-            self._send(packet, self.gatherer.elsewhere())
+            self._send(packet, self.gatherer.list_remote_gatherers())
         usage = own_usage + others_usage
         for packet in work_notice.packets(uses.TAKE, own + others, usage):
-            self._send(packet, self.gatherer.neighbours())
+            self._send(packet, self.gatherer.list_neighbours())
 
     def _usage_to_hand_on(
         self,
@@ -383,14 +385,14 @@
                 self._gather(packet.work, self._own_part, now)
                 self._gather_usage(packet, now)
             case work_notice.PacketUse.SPREAD:
-                if not self.gatherer.is_self(now):
+                if not self.gatherer.is_gatherer(now):
                     return  # it comes from the gatherer, too
                 self._gather(packet.work, self._others_part, now)
                 self._keep_usage(packet)
             case work_notice.PacketUse.PASS_ON:
                 self._send(
                     packet._replace(use=work_notice.PacketUse.TAKE),
-                    self.gatherer.neighbours(),
+                    self.gatherer.list_neighbours(),
                 )
         self._take_in(packet, now)
 
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -208,7 +208,7 @@
 
     def _beat_s(self) -> float:
         """Returns after how long others are told that this host is there."""
-        if self.work.gatherer.is_self(clock.now()):
+        if self.work.gatherer.is_gatherer(clock.now()):
             return usage_exchange.GROUP_REPORT_INTERVAL_S
         return usage_exchange.HOST_REPORT_INTERVAL_S
 
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -119,7 +119,7 @@
 
         Where few hosts read, knowing early is worth more than the calls.
         """
-        if self.readers.source.is_shared():
+        if self.readers.source.has_shared_reader():
             return self.plan.gather_s()
         return self.plan.lone_gather_s
 
@@ -326,7 +326,7 @@
         when the store answers again.
         """
         longest_s = _LONGEST_PAUSE_S
-        if self.readers.source.is_shared():
+        if self.readers.source.has_shared_reader():
             longest_s = _LONGEST_SHARED_PAUSE_S
         await anyio.sleep(_pause_s(failures, longest_s))
         is_lost = self.readers.watch.lost_at is not None
@@ -344,7 +344,7 @@
         if failures or is_lost or self._lost_at is not None:
             return 0.0
         wait_s = self.plan.wait_s()
-        if self.readers.source.reads_for_many():
+        if self.readers.source.is_shared_reader():
             return min(wait_s, self.plan.reader_wait_s())
         return wait_s
 
@@ -375,7 +375,9 @@
 
         with anyio.move_on_after(_CONFIRM_S):
             async with anyio.create_task_group() as tasks:
-                for peer in self.readers.source.witnesses(random.choice):
+                for peer in self.readers.source.pick_confirming_hosts(
+                    random.choice
+                ):
                     tasks.start_soon(ask, peer)
         for record in (each for page in pages for each in page.records):
             known = newest.get(record.key)
--- a/hillthread/state/cluster/feed_source.py
+++ b/hillthread/state/cluster/feed_source.py
@@ -92,7 +92,7 @@
         self.hosts.pop(name, None)
         self._rank()
 
-    def witnesses(
+    def pick_confirming_hosts(
         self, draw: Callable[[list[HostEntry]], HostEntry]
     ) -> list[HostEntry]:
         """Returns a host of this data centre and one of another, as there are.
@@ -129,15 +129,15 @@
         """Returns in how many data centres there are hosts."""
         return len({entry.data_centre for entry in self.hosts.values()})
 
-    def is_shared(self) -> bool:
+    def has_shared_reader(self) -> bool:
         """Returns whether one host of the data centre reads for the others."""
         return bool(self._ranked)
 
-    def reads_for_many(self) -> bool:
+    def is_shared_reader(self) -> bool:
         """Returns whether others are expected to read from this host."""
         return any(entry.name == self.name for entry in self._ranked[:1])
 
-    def rank_among_all(self, key: str) -> int:
+    def get_duty_rank(self, key: str) -> int:
         """Returns this host's place among all hosts for a duty, 0 first."""
         if key not in self._duty_ranks:
             order = placement.rank_by_rendezvous(key.encode(), self.hosts)
--- a/hillthread/state/cluster/gatherer.py
+++ b/hillthread/state/cluster/gatherer.py
@@ -13,7 +13,7 @@
 
 from hillthread.state.cluster import feed_source
 
-__all__ = ["GathererChoice"]
+__all__ = ["GathererSelector"]
 
 # What was handed over is sent on by then unless the gatherer, or the way to it,
 # is lost: it does so every 30 ms.
@@ -28,7 +28,7 @@
 _ELSEWHERE = 2
 
 
-class GathererChoice:
+class GathererSelector:
     """Chooses the gatherer of this host's data centre.
 
     Attributes:
@@ -51,12 +51,12 @@
                 return entry
         return ranked[0] if ranked else None
 
-    def neighbours(self) -> list[feed_source.HostEntry]:
+    def list_neighbours(self) -> list[feed_source.HostEntry]:
         """Returns the other hosts of this host's data centre."""
         ranked = self._ranks().get(self.source.data_centre, [])
         return [each for each in ranked if each.name != self.source.name]
 
-    def elsewhere(self) -> list[feed_source.HostEntry]:
+    def list_remote_gatherers(self) -> list[feed_source.HostEntry]:
         """Returns who hands on in the other data centres."""
         return [
             entry
@@ -65,7 +65,7 @@
             for entry in ranked[:_ELSEWHERE]
         ]
 
-    def is_self(self, now: float) -> bool:
+    def is_gatherer(self, now: float) -> bool:
         """Returns whether this host gathers."""
         entry = self.pick(now)
         return entry is not None and entry.name == self.source.name
--- a/hillthread/state/cluster/notice_route.py
+++ b/hillthread/state/cluster/notice_route.py
@@ -15,7 +15,7 @@
 
 from hillthread.state.cluster import feed_source
 
-__all__ = ["Receiver", "pass_on_receivers", "receivers"]
+__all__ = ["Receiver", "list_forward_receivers", "choose_receivers"]
 
 
 class Receiver(NamedTuple):
@@ -27,10 +27,10 @@
     """
 
     host: feed_source.HostEntry
-    passes_on: bool
+    is_forwarder: bool
 
 
-def receivers(
+def choose_receivers(
     name: str,
     data_centre: str,
     hosts: Iterable[feed_source.HostEntry],
@@ -56,7 +56,7 @@
     return chosen
 
 
-def pass_on_receivers(
+def list_forward_receivers(
     name: str, data_centre: str, hosts: Iterable[feed_source.HostEntry]
 ) -> list[feed_source.HostEntry]:
     """Returns whom a host tells of what it was asked to pass on."""
--- a/tests/coordination/gateway/peers/test_work_feed.py
+++ b/tests/coordination/gateway/peers/test_work_feed.py
@@ -27,7 +27,7 @@
     source = feed_source.FeedSource(entry.name, entry.data_centre)
     source.put(entry)
     source.put(entry._replace(name=other))
-    return gatherer.GathererChoice(source).pick(0.0).name
+    return gatherer.GathererSelector(source).pick(0.0).name
 
 
 class WorkFeedTest(unittest.TestCase):
@@ -150,11 +150,11 @@
             program.source.put(gone)
             scene.site.hosts = 1_000
             now = anyio.current_time()
-            self.assertFalse(program.work.gatherer.is_self(now))
+            self.assertFalse(program.work.gatherer.is_gatherer(now))
             await scene.call(long_prompt(scene))
             await scene.call(long_prompt(scene))
             await scene.until(
-                lambda: program.work.gatherer.is_self(anyio.current_time())
+                lambda: program.work.gatherer.is_gatherer(anyio.current_time())
             )
 
         scene_lib.play(story)
--- a/tests/state/cluster/test_gatherer.py
+++ b/tests/state/cluster/test_gatherer.py
@@ -19,14 +19,14 @@
     source = feed_source.FeedSource(name, name[0])
     for host in HOSTS:
         source.put(host)
-    return gatherer.GathererChoice(source)
+    return gatherer.GathererSelector(source)
 
 
 class GathererTest(unittest.TestCase):
     def test_hosts_of_a_data_centre_agree(self):
         picked = {choice(f"a{n}").pick(0.0).name for n in range(4)}
         self.assertEqual(len(picked), 1)
-        gathers = [choice(f"a{n}").is_self(0.0) for n in range(4)]
+        gathers = [choice(f"a{n}").is_gatherer(0.0) for n in range(4)]
         self.assertEqual(gathers.count(True), 1)
 
     def test_hosts_with_fast_links_gather_first(self):
@@ -38,7 +38,7 @@
             source.put(entry._replace(link_mbps=100.0 if fast else 5.0))
         ranked = feed_source.rank_hosts("gather/a", source.hosts)
         self.assertEqual({host.name for host in ranked[:2]}, {"a5", "a7"})
-        chosen = gatherer.GathererChoice(source)
+        chosen = gatherer.GathererSelector(source)
         self.assertIn(chosen.pick(0.0).name, ("a5", "a7"))
         # With both lost, others do it.
         for name in ("a5", "a7"):
@@ -47,7 +47,9 @@
 
     def test_silent_one_is_passed_over_for_a_while_and_tried_again(self):
         hands = next(
-            c for c in (choice(f"a{n}") for n in range(4)) if not c.is_self(0.0)
+            c
+            for c in (choice(f"a{n}") for n in range(4))
+            if not c.is_gatherer(0.0)
         )
         first = hands.pick(0.0).name
         hands.note_sent(first, 0.0)
@@ -64,7 +66,9 @@
 
     def test_what_it_sends_shows_that_it_is_well(self):
         hands = next(
-            c for c in (choice(f"a{n}") for n in range(4)) if not c.is_self(0.0)
+            c
+            for c in (choice(f"a{n}") for n in range(4))
+            if not c.is_gatherer(0.0)
         )
         first = hands.pick(0.0).name
         hands.note_sent(first, 0.0)
@@ -74,7 +78,9 @@
 
     def test_what_others_send_shows_nothing(self):
         hands = next(
-            c for c in (choice(f"a{n}") for n in range(4)) if not c.is_self(0.0)
+            c
+            for c in (choice(f"a{n}") for n in range(4))
+            if not c.is_gatherer(0.0)
         )
         first = hands.pick(0.0).name
         hands.note_sent(first, 0.0)
@@ -82,13 +88,13 @@
         self.assertNotEqual(hands.pick(BACK_LATE_S).name, first)
 
     def test_two_hosts_of_each_other_data_centre_are_told(self):
-        names = {host.name[0] for host in choice("a0").elsewhere()}
+        names = {host.name[0] for host in choice("a0").list_remote_gatherers()}
         self.assertEqual(names, {"b", "c"})
-        self.assertEqual(len(choice("a0").elsewhere()), 3)
-        self.assertEqual(len(choice("a0").neighbours()), 3)
+        self.assertEqual(len(choice("a0").list_remote_gatherers()), 3)
+        self.assertEqual(len(choice("a0").list_neighbours()), 3)
 
     def test_host_that_comes_is_ranked(self):
         hands = choice("c0")
-        self.assertEqual(hands.neighbours(), [])
+        self.assertEqual(hands.list_neighbours(), [])
         hands.source.put(feed_source.HostEntry("c1", "c", "c1:1"))
-        self.assertEqual([h.name for h in hands.neighbours()], ["c1"])
+        self.assertEqual([h.name for h in hands.list_neighbours()], ["c1"])
--- a/tests/state/cluster/test_notice_route.py
+++ b/tests/state/cluster/test_notice_route.py
@@ -16,14 +16,14 @@
     def test_every_other_host_hears_once(self):
         for draw in (min, max):
             with self.subTest(draw=draw):
-                told = notice_route.receivers("a0", "a", HOSTS, draw)
+                told = notice_route.choose_receivers("a0", "a", HOSTS, draw)
                 heard = [each.host.name for each in told]
                 for each in told:
-                    if each.passes_on:
+                    if each.is_forwarder:
                         host = each.host
                         heard += [
                             other.name
-                            for other in notice_route.pass_on_receivers(
+                            for other in notice_route.list_forward_receivers(
                                 host.name, host.data_centre, HOSTS
                             )
                         ]
@@ -31,7 +31,7 @@
                 self.assertEqual(sorted(heard), others)
 
     def test_one_notice_crosses_to_each_other_data_centre(self):
-        told = notice_route.receivers("a0", "a", HOSTS, min)
+        told = notice_route.choose_receivers("a0", "a", HOSTS, min)
         crossing = [e for e in told if e.host.data_centre != "a"]
         self.assertEqual([e.host.name for e in crossing], ["b0", "c0"])
-        self.assertEqual([e.passes_on for e in crossing], [True, False])
+        self.assertEqual([e.is_forwarder for e in crossing], [True, False])
--- a/tests/state/cluster/test_topic_copy.py
+++ b/tests/state/cluster/test_topic_copy.py
@@ -189,8 +189,8 @@
     def test_host_that_is_alone_in_its_data_centre_reads_the_store(self):
         (source,) = self.sources(1)
         self.assertIsNone(source.pick(0.0))
-        self.assertFalse(source.reads_for_many())
-        self.assertFalse(source.is_shared())
+        self.assertFalse(source.is_shared_reader())
+        self.assertFalse(source.has_shared_reader())
 
     def test_hosts_agree_on_one_that_reads_the_store(self):
         for count in (2, 3, 9, 33):
@@ -213,5 +213,5 @@
         self.assertEqual(source.pick(9.0), first)
 
     def test_ranks_for_a_duty_differ(self):
-        ranks = [s.rank_among_all("orders") for s in self.sources(5)]
+        ranks = [s.get_duty_rank("orders") for s in self.sources(5)]
         self.assertEqual(len(set(ranks)), 5)
