--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -313,15 +313,15 @@
         age_s = self.site.freshness.age(clock.now())
         left_s = self.site.greatest_age_s * _PROOF_SHARE - age_s
         bound_s = self.site.settings.config_ms / 1000.0
-        longest_s = min(_OPERATOR_WAIT_S, held_read.longest_hold_s(bound_s))
+        longest_s = min(_OPERATOR_WAIT_S, held_read.compute_max_hold_s(bound_s))
         return min(longest_s, max(0.0, left_s))
 
     def _targets_gather_s(self) -> float:
         """Returns how long to wait for more changes of targets."""
         return self.site.settings.drain_ms / 1000.0 * _TARGETS_GATHER_SHARE
 
-    def _feed_holds(self) -> held_read.FeedHolds:
-        return held_read.feed_holds(
+    def _feed_holds(self) -> held_read.FeedHoldTimes:
+        return held_read.compute_feed_holds(
             self.site.ready_age_s, self.site.greatest_age_s
         )
 
--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -122,7 +122,7 @@
         """
         named = configuration_lib.decode_weights(payload)
         now = clock.now()
-        not_before = self.freshness.proven_at
+        not_before = self.freshness.known_until
         if self.weights.record_announcement(
             named.model, named.version, now, not_before
         ):
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -160,7 +160,7 @@
         """
         position = self.copy.position or _START
         age_s = self.freshness.age(clock.now())
-        records = self.copy.since(start)
+        records = self.copy.list_since(start)
         whole = records is None
         if records is None:
             records = list(self.copy.newest.values())
@@ -204,7 +204,7 @@
                 self.plan.caught_up()
             waited_s = min(peer_wait_s, now - started)
             held_s = 0.0 if page.records else waited_s
-            self.freshness.prove(started - page.age_s, held_s)
+            self.freshness.note_read(started - page.age_s, held_s)
             self.readers.watch.note_success()
             self._note_answer()
             outcome = "peer_answered"
@@ -232,7 +232,7 @@
             self.readers.peers,
             peer.feed,
             request,
-            wait_s + held_read.PEER_LOST_AFTER_S,
+            wait_s + held_read.PEER_READ_LOST_AFTER_S,
             _MAX_PAGE_BYTES,
         )
         if answer.head.status != 200:
@@ -354,7 +354,7 @@
         if self.plan.confirms_start and not self.copy.newest:
             records = await self._confirm(records)
         self._take_whole(records, page.end)
-        self.freshness.prove(started)
+        self.freshness.note_read(started)
         self.plan.caught_up()
         if self.plan.lists_hosts:
             self._brought = True  # others that start now are about to come
@@ -404,7 +404,7 @@
             return True  # the rest, which may be anything, comes with the next
         took_s = clock.now() - started
         held_s = 0.0 if page.records else min(wait_s, took_s)
-        self.freshness.prove(started, held_s)
+        self.freshness.note_read(started, held_s)
         return True
 
     def _take_whole(
--- a/hillthread/platform/store.py
+++ b/hillthread/platform/store.py
@@ -285,7 +285,9 @@
                 self.pool,
                 self.address,
                 request,
-                wait_s + held_read.LOST_AFTER_S if wait_s else _CALL_TIMEOUT_S,
+                wait_s + held_read.READ_LOST_AFTER_S
+                if wait_s
+                else _CALL_TIMEOUT_S,
                 _MAX_ANSWER_BYTES,
             )
         except http1_client.CallError as error:
--- a/hillthread/state/cluster/freshness.py
+++ b/hillthread/state/cluster/freshness.py
@@ -21,9 +21,9 @@
     """
 
     def __init__(self):
-        self.proven_at = float("-inf")
+        self.known_until = float("-inf")
 
-    def prove(self, sent_at: float, held_s: float = 0.0) -> None:
+    def note_read(self, sent_at: float, held_s: float = 0.0) -> None:
         """Notes a read that came back.
 
         Args:
@@ -31,8 +31,8 @@
             held_s: How long the store held it before it found nothing new.
         """
         looked_at = sent_at + held_s * _HELD_SHARE
-        self.proven_at = max(self.proven_at, looked_at)
+        self.known_until = max(self.known_until, looked_at)
 
     def age(self, now: float) -> float:
         """Returns seconds since the last proof."""
-        return now - self.proven_at
+        return now - self.known_until
--- a/hillthread/state/cluster/held_read.py
+++ b/hillthread/state/cluster/held_read.py
@@ -15,23 +15,23 @@
 from typing import NamedTuple
 
 __all__ = [
-    "LOST_AFTER_S",
-    "PEER_LOST_AFTER_S",
-    "FeedHolds",
-    "feed_holds",
-    "longest_hold_s",
+    "READ_LOST_AFTER_S",
+    "PEER_READ_LOST_AFTER_S",
+    "FeedHoldTimes",
+    "compute_feed_holds",
+    "compute_max_hold_s",
 ]
 
 # From the end of the time held until a read counts as lost, seconds: what the
 # host believes ages meanwhile, and asking again costs one call.
-LOST_AFTER_S = 0.6
+READ_LOST_AFTER_S = 0.6
 # For the next read over a new connection, and for what is done with its answer
 # on a host that is short of processor time, seconds.
 _NEXT_READ_S = 0.3
 # Of a short bound: a read that is not held at all costs a call each few ms.
 _LEAST_SHARE = 0.25
 # From the end of the time that a host holds a question until it counts as lost.
-PEER_LOST_AFTER_S = 0.5
+PEER_READ_LOST_AFTER_S = 0.5
 # Between the look of the store at a topic and the taking in, and for a read of
 # the store after another host was lost, seconds.
 _WAY_S = 0.2
@@ -42,7 +42,7 @@
 _PEER_SHARE = 0.35
 
 
-class FeedHolds(NamedTuple):
+class FeedHoldTimes(NamedTuple):
     """How long reads are held where one host reads for others, seconds.
 
     Attributes:
@@ -54,7 +54,9 @@
     reader_s: float
 
 
-def feed_holds(ready_age_s: float, greatest_age_s: float) -> FeedHolds:
+def compute_feed_holds(
+    ready_age_s: float, greatest_age_s: float
+) -> FeedHoldTimes:
     """Returns holds with which hosts that read from another one stay ready.
 
     Args:
@@ -64,16 +66,16 @@
     """
     peer_s = min(_LONGEST_PEER_S, ready_age_s * _PEER_SHARE)
     ordinary_s = ready_age_s - peer_s - _WAY_S
-    lost_s = greatest_age_s - peer_s - PEER_LOST_AFTER_S - 2 * _WAY_S
+    lost_s = greatest_age_s - peer_s - PEER_READ_LOST_AFTER_S - 2 * _WAY_S
     least_s = ready_age_s * _LEAST_SHARE
-    return FeedHolds(peer_s, max(least_s, min(ordinary_s, lost_s)))
+    return FeedHoldTimes(peer_s, max(least_s, min(ordinary_s, lost_s)))
 
 
-def longest_hold_s(bound_s: float) -> float:
+def compute_max_hold_s(bound_s: float) -> float:
     """Returns how long a read may be held.
 
     Args:
         bound_s: From when the store took a change until it must be in force.
     """
-    left_s = bound_s - LOST_AFTER_S - _NEXT_READ_S
+    left_s = bound_s - READ_LOST_AFTER_S - _NEXT_READ_S
     return max(left_s, bound_s * _LEAST_SHARE)
--- a/hillthread/state/cluster/topic_copy.py
+++ b/hillthread/state/cluster/topic_copy.py
@@ -148,7 +148,9 @@
         """Skips records that cannot be read."""
         self.position = max(self.position or position, position)
 
-    def since(self, start: position_lib.Position) -> list[TopicRecord] | None:
+    def list_since(
+        self, start: position_lib.Position
+    ) -> list[TopicRecord] | None:
         """Returns the records from `start` on; None when some are not kept."""
         if self.position is None or start.era != self.position.era:
             return None
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -88,7 +88,7 @@
         async def story(scene):
             scene.store.faults.status = 503
             await scene.until(lambda: scene.program.readers.watch.lost_at)
-            proven_at = scene.site.freshness.proven_at
+            proven_at = scene.site.freshness.known_until
             scene.store.faults.page_records = 1
             scene.store.put("keyed.op", "other", {})
             scene.configure(routes=[])
@@ -101,13 +101,13 @@
             def is_read():
                 """Notes how fresh the copy counts until it is complete."""
                 if follower.copy.position < end:
-                    ages.append(scene.site.freshness.proven_at)
+                    ages.append(scene.site.freshness.known_until)
                 return follower.copy.position == end
 
             await scene.until(is_read)
             self.assertEqual(set(ages), {proven_at})
             await scene.until(
-                lambda: scene.site.freshness.proven_at > proven_at
+                lambda: scene.site.freshness.known_until > proven_at
             )
 
         scene_lib.play(story)
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -231,7 +231,7 @@
                 whole = target._run
 
                 async def lose_store(*arguments, whole=whole):
-                    scene.site.freshness.proven_at -= 60.0
+                    scene.site.freshness.known_until -= 60.0
                     await whole(*arguments)
 
                 target._run = lose_store
@@ -250,7 +250,7 @@
                 run = target._run
 
                 async def lose_store(*arguments, run=run):
-                    scene.site.freshness.proven_at -= 60.0
+                    scene.site.freshness.known_until -= 60.0
                     await run(*arguments)
 
                 target._run = lose_store
--- a/tests/coordination/gateway/test_bounds_range.py
+++ b/tests/coordination/gateway/test_bounds_range.py
@@ -45,7 +45,7 @@
         for revoke_ms in (2_500, 5_000, 10_000):
             with self.subTest(revoke_ms=revoke_ms):
                 believed = site(revoke_ms=revoke_ms)
-                believed.freshness.prove(100.0)
+                believed.freshness.note_read(100.0)
                 revoke_s = revoke_ms / 1000.0
                 late = 100.0 + revoke_s - _WAY_S
                 self.assertFalse(believed.may_serve_keys(late))
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -186,7 +186,7 @@
 
     def test_host_that_was_frozen_serves_no_key_before_it_has_read(self):
         async def story(scene):
-            scene.site.freshness.proven_at -= 60.0
+            scene.site.freshness.known_until -= 60.0
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(scene.runs(), [])
@@ -208,7 +208,7 @@
             scene.site.neighbours = 2
             age_s = scene.site.greatest_age_s + 0.1
             scene.store.faults.silent = True
-            scene.site.freshness.proven_at = time.monotonic() - age_s
+            scene.site.freshness.known_until = time.monotonic() - age_s
             head = await self.refused(scene)
             self.assertEqual(head.get(b"connection"), b"close")
             self.assertLess(float(head.get(b"retry-after")), 0.2)
@@ -224,7 +224,7 @@
             await scene.until(lambda: scene.site.hosts == 2)
             age_s = scene.site.greatest_age_s + 0.1
             scene.store.faults.silent = True
-            scene.site.freshness.proven_at = time.monotonic() - age_s
+            scene.site.freshness.known_until = time.monotonic() - age_s
             waits_s = 2.0 - scene.site.unready_s(time.monotonic())
             head = await self.refused(scene)
             after_s = float(head.get(b"retry-after"))
@@ -238,7 +238,7 @@
 
         async def story(scene):
             scene.store.faults.silent = True
-            scene.site.freshness.proven_at = time.monotonic() - 60.0
+            scene.site.freshness.known_until = time.monotonic() - 60.0
             head = await self.refused(scene)
             self.assertGreaterEqual(float(head.get(b"retry-after")), 1.0)
 
--- a/tests/state/cluster/test_held_read.py
+++ b/tests/state/cluster/test_held_read.py
@@ -9,12 +9,12 @@
     def test_the_next_read_fits_into_the_bound(self):
         for bound_s in (1.0, 2.0, 3.0, 4.0, 12.0):
             with self.subTest(bound_s=bound_s):
-                hold_s = held_read.longest_hold_s(bound_s)
+                hold_s = held_read.compute_max_hold_s(bound_s)
                 self.assertGreater(hold_s, 0.0)
-                self.assertLess(hold_s + held_read.LOST_AFTER_S, bound_s)
+                self.assertLess(hold_s + held_read.READ_LOST_AFTER_S, bound_s)
 
     def test_a_longer_bound_allows_a_longer_hold(self):
-        holds = [held_read.longest_hold_s(each) for each in (1.0, 2.0, 4.0)]
+        holds = [held_read.compute_max_hold_s(each) for each in (1.0, 2.0, 4.0)]
         self.assertEqual(holds, sorted(set(holds)))
 
 
@@ -29,16 +29,18 @@
         for revoke_s in (2.5, 5.0, 10.0):
             with self.subTest(revoke_s=revoke_s):
                 ready_s, greatest_s = 0.6 * revoke_s, revoke_s - 0.8
-                holds = held_read.feed_holds(ready_s, greatest_s)
+                holds = held_read.compute_feed_holds(ready_s, greatest_s)
                 oldest_s = holds.reader_s + holds.peer_s
                 self.assertLess(oldest_s, ready_s)
                 # The reader stands still right after it has answered.
-                found_s = holds.peer_s + held_read.PEER_LOST_AFTER_S
+                found_s = holds.peer_s + held_read.PEER_READ_LOST_AFTER_S
                 self.assertLess(holds.reader_s + found_s, greatest_s)
 
     def test_reads_are_held_longer_under_a_longer_bound(self):
         readers = [
-            held_read.feed_holds(0.6 * revoke_s, revoke_s - 0.8).reader_s
+            held_read.compute_feed_holds(
+                0.6 * revoke_s, revoke_s - 0.8
+            ).reader_s
             for revoke_s in (2.5, 5.0, 10.0)
         ]
         self.assertEqual(readers, sorted(set(readers)))
--- a/tests/state/cluster/test_restored_topic_at_size.py
+++ b/tests/state/cluster/test_restored_topic_at_size.py
@@ -97,7 +97,7 @@
         self.era = max(self.era, end.era)
         changes = None
         if self.copy.position is not None:
-            changes = peer.copy.since(self.copy.position)
+            changes = peer.copy.list_since(self.copy.position)
         if changes is None:
             if end >= (self.copy.position or position.Position(0, 0)):
                 self.take_whole(list(peer.copy.newest.values()), end)
--- a/tests/state/cluster/test_topic_copy.py
+++ b/tests/state/cluster/test_topic_copy.py
@@ -41,7 +41,7 @@
         for offset, (key, value) in enumerate(changes):
             copy.add(record(offset, key, value))
             if offset >= join:
-                for each in copy.since(reader.position):
+                for each in copy.list_since(reader.position):
                     reader.add(each)
                 self.assertEqual(reader.newest, copy.newest)
 
@@ -49,7 +49,7 @@
         copy = topic_copy.TopicCopy()
         copy.replace([record(1, "a", b"2")], at(1))
         self.assertFalse(copy.add(record(1, "a", b"2")))
-        self.assertEqual([r.position for r in copy.since(at(1))], [at(1)])
+        self.assertEqual([r.position for r in copy.list_since(at(1))], [at(1)])
 
     def test_records_that_cannot_be_read_are_passed_over(self):
         copy = topic_copy.TopicCopy()
@@ -62,8 +62,8 @@
     def test_reader_that_lags_behind_history_is_given_the_whole(self):
         copy = topic_copy.TopicCopy()
         copy.replace([record(4, "a", b"1")], at(9))
-        self.assertIsNone(copy.since(at(3)))
-        self.assertEqual(copy.since(at(9)), [])
+        self.assertIsNone(copy.list_since(at(3)))
+        self.assertEqual(copy.list_since(at(9)), [])
 
     def test_replacing_tells_what_was_removed(self):
         copy = topic_copy.TopicCopy()
@@ -166,9 +166,9 @@
     def test_reader_of_the_former_era_is_given_the_whole(self):
         copy = self.copy()
         self.restore(copy)
-        self.assertIsNone(copy.since(at(3, 1)))
-        self.assertIsNone(copy.since(at(99, 1)))
-        self.assertEqual(copy.since(at(3, 2)), [])
+        self.assertIsNone(copy.list_since(at(3, 1)))
+        self.assertIsNone(copy.list_since(at(99, 1)))
+        self.assertEqual(copy.list_since(at(3, 2)), [])
 
     def test_former_era_is_told_apart(self):
         copy = self.copy(record(8, "a", b"1", 1))
