--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -52,7 +52,7 @@
         """
         if not self._needed:
             self._needed = True
-            first_at = succession.first_try_at(
+            first_at = succession.compute_first_try_at(
                 self._standing(), now, random.random()
             )
             self._try_at = max(self._resigned_until, first_at)
@@ -60,7 +60,7 @@
             return False
         if await self.acquire_or_renew():
             return True
-        self._try_at = succession.next_try_at(
+        self._try_at = succession.compute_next_try_at(
             self._standing(), clock.now(), random.random()
         )
         return False
@@ -73,7 +73,7 @@
         on: how long the lease lasts counts from when its last record was read.
         """
         rank = self.hosts.get_duty_rank(_DUTY)
-        if self.lease.is_holder or rank < succession.WATCHING_HOSTS:
+        if self.lease.is_holder or rank < succession.WATCHING_HOST_COUNT:
             return False
         return now - self.site.load_told_at < _SILENCE_S
 
@@ -120,8 +120,8 @@
             await self.lease.catch_up()
         self._look_at = _NEVER
 
-    def _standing(self) -> succession.Standing:
-        return succession.Standing(
+    def _standing(self) -> succession.LeaseStanding:
+        return succession.LeaseStanding(
             self.hosts.get_duty_rank(_DUTY),
             self.lease.is_holder,
             self.lease.has_holder,
--- a/hillthread/coordination/gateway/orders/order_lease.py
+++ b/hillthread/coordination/gateway/orders/order_lease.py
@@ -62,7 +62,7 @@
             _ACT_S + pause_s + _MARGIN_S,
             _ACT_S,
             ordered=True,
-            pause_s=pause_s + _MARGIN_S,
+            handover_pause_s=pause_s + _MARGIN_S,
         )
         self._turn = anyio.Lock()
         self._retry_at = float("-inf")
@@ -81,7 +81,7 @@
     @property
     def has_holder(self) -> bool:
         """Whether anybody is known to have held it."""
-        return self.contender.state.holder != lease.NOBODY
+        return self.contender.state.holder != lease.NO_HOLDER
 
     def may_act(self) -> bool:
         """Returns whether this host may give orders; ask before each."""
@@ -124,7 +124,7 @@
         """
         state = self.contender.state
         if state.era != self.store.era:
-            self.contender.adopt_era(self.store.era)
+            self.contender.set_era(self.store.era)
         try:
             page = await self.store.read(LEASE_TOPIC, self._next(), 0.0)
         except store_lib.TruncatedError as error:
@@ -137,14 +137,14 @@
                     "holder": state.holder,
                 },
             )
-            self.contender.start_anew(error.first)
+            self.contender.restart_at(error.first)
             page = await self.store.read(LEASE_TOPIC, self._next(), 0.0)
         now = self._clock()
         before = state.holder
         for record in page.records:
             self.contender.read(record.position.offset, record.payload, now)
         state.position = max(state.position, page.end.offset - 1)
-        self.contender.start_waiting(now)
+        self.contender.note_caught_up(now)
         if state.holder != before:
             _logger.info(
                 "lease has a holder",
--- a/hillthread/coordination/lease_keeper.py
+++ b/hillthread/coordination/lease_keeper.py
@@ -82,7 +82,7 @@
             now = clock.now()
             for record in page.records:
                 self.contender.read(record.offset, record.payload, now)
-            self.contender.start_waiting(now)
+            self.contender.note_caught_up(now)
             self._read_since_gap = True
             if not held and self.contender.state.holder == self.contender.name:
                 self.acquired_at = now
@@ -99,7 +99,7 @@
             self.contender.state.position,
             extra={"code": "lease_gap"},
         )
-        self.contender.start_anew(first_offset)
+        self.contender.restart_at(first_offset)
         self._first_kept = first_offset
         self._read_since_gap = False
 
--- a/hillthread/state/cluster/lease.py
+++ b/hillthread/state/cluster/lease.py
@@ -36,9 +36,9 @@
 # Own appends whose time of sending is remembered until they are read back.
 _MAX_UNREAD = 64
 # The holder of a lease that nobody holds.
-NOBODY = ""
+NO_HOLDER = ""
 # Somebody may hold it: the records that told were not read.
-UNKNOWN = "?"
+UNKNOWN_HOLDER = "?"
 
 
 class Acquire(
@@ -147,16 +147,16 @@
         self.era: int | None = None
         self.is_restored = False
         self.position = -1
-        self.holder = NOBODY
+        self.holder = NO_HOLDER
         self.fencing = -1
-        self.last = -1
+        self.last_counted = -1
 
     def apply(self, offset: int, payload: bytes) -> bool:
         """Applies a record; returns whether it counted."""
         if offset <= self.position:
             return False
         starts_late = self.position < 0 and offset > 0
-        starts_late = starts_late or self.holder == UNKNOWN
+        starts_late = starts_late or self.holder == UNKNOWN_HOLDER
         self.position = offset
         try:
             record = decode_lease(payload)
@@ -170,7 +170,7 @@
             self._adopt(offset, record)
             return True
         match record:
-            case Acquire() if self.ordered or record.after == self.last:
+            case Acquire() if self.ordered or record.after == self.last_counted:
                 self.holder = record.holder
                 self.fencing = offset
             case Renew() if (record.holder, record.fencing) == (
@@ -182,34 +182,34 @@
                 self.holder,
                 self.fencing,
             ):
-                self.holder = NOBODY
+                self.holder = NO_HOLDER
             case _:
                 return False
-        self.last = offset
+        self.last_counted = offset
         return True
 
-    def start_anew(self, first: int) -> None:
+    def restart_at(self, first: int) -> None:
         """Forgets what was read, for the records that follow it are gone.
 
         Args:
             first: Offset of the first record kept.
         """
         self.position = first - 1
-        self.holder = UNKNOWN
+        self.holder = UNKNOWN_HOLDER
         self.fencing = -1
-        self.last = -1
+        self.last_counted = -1
 
     def start_era(self, era: int | None) -> None:
         """Forgets what was read, for the log was restored."""
         self.era = era
         self.position = -1
-        self.holder = NOBODY
+        self.holder = NO_HOLDER
         self.fencing = -1
-        self.last = -1
+        self.last_counted = -1
 
     def _adopt(self, offset: int, record: LeaseRecord) -> None:
         self.holder = record.holder
-        self.last = offset
+        self.last_counted = offset
         match record:
             case Acquire():
                 self.fencing = offset
@@ -217,7 +217,7 @@
                 self.fencing = fencing
             case Release(fencing=fencing):
                 self.fencing = fencing
-                self.holder = NOBODY
+                self.holder = NO_HOLDER
 
 
 class Contender:
@@ -239,12 +239,12 @@
         ttl_s: float,
         act_s: float | None = None,
         ordered: bool = False,
-        pause_s: float = 0.0,
+        handover_pause_s: float = 0.0,
     ):
         self.name = name
         self.ttl_s = ttl_s
         self.act_s = ttl_s * _ACT_SHARE if act_s is None else act_s
-        self.pause_s = pause_s
+        self.handover_pause_s = handover_pause_s
         self.state = LeaseState(ordered)
         self._read_at: float | None = None
         self._number = 0
@@ -269,7 +269,7 @@
             )
         return Acquire(
             holder=self.name,
-            after=self.state.last,
+            after=self.state.last_counted,
             number=number,
             era=self.state.era,
         )
@@ -295,17 +295,17 @@
         if began_at is not None:
             self._acts_until = began_at + self.act_s
 
-    def start_waiting(self, now: float) -> None:
+    def note_caught_up(self, now: float) -> None:
         """Notes that the log was read to its end, though it was empty."""
         if self._read_at is None:
             self._read_at = now
 
-    def start_anew(self, first: int) -> None:
+    def restart_at(self, first: int) -> None:
         """Forgets what was read, for the records that follow it are gone.
 
         Whoever holds the lease by them may act until it is over.
         """
-        self.state.start_anew(first)
+        self.state.restart_at(first)
         self._acts_until = float("-inf")
         self._read_at = None
 
@@ -322,7 +322,7 @@
         self._knows_restoration = True
         self._contend_after = now if holds else now + self.ttl_s
 
-    def adopt_era(self, era: int | None) -> None:
+    def set_era(self, era: int | None) -> None:
         """Notes the era of the log before anything of it is read."""
         self.state.start_era(era)
 
@@ -333,7 +333,7 @@
         before that one's can be over; this does not keep it from that.
         """
         self._acts_until = float("-inf")
-        self.state.holder = NOBODY
+        self.state.holder = NO_HOLDER
 
     def may_act(self, now: float) -> bool:
         """Returns whether this host holds the lease; ask right before acting.
@@ -358,11 +358,11 @@
             return self._acts_until
         if self._read_at is None:
             return float("-inf")
-        if self.state.holder != NOBODY:
+        if self.state.holder != NO_HOLDER:
             return self._read_at + self.ttl_s
-        if self.state.last < 0:
+        if self.state.last_counted < 0:
             return float("-inf")  # nobody has ever held it
-        return self._read_at + self.pause_s
+        return self._read_at + self.handover_pause_s
 
     def should_renew(self, now: float) -> bool:
         """Returns whether a renewal is due."""
--- a/hillthread/state/cluster/succession.py
+++ b/hillthread/state/cluster/succession.py
@@ -9,7 +9,12 @@
 
 from typing import NamedTuple
 
-__all__ = ["WATCHING_HOSTS", "Standing", "first_try_at", "next_try_at"]
+__all__ = [
+    "WATCHING_HOST_COUNT",
+    "LeaseStanding",
+    "compute_first_try_at",
+    "compute_next_try_at",
+]
 
 # A renewal takes some ms, and the news of what is to be done reach all hosts
 # within 0.2 s of each other.
@@ -21,11 +26,11 @@
 _HOLDER_RETRY_S = 0.5
 # How long a lease still lasts counts from when its last record was read: those
 # who would follow first read it so often, the others when it may be over.
-WATCHING_HOSTS = 3
+WATCHING_HOST_COUNT = 3
 _WATCH_S = 0.8
 
 
-class Standing(NamedTuple):
+class LeaseStanding(NamedTuple):
     """How a host stands towards a lease.
 
     Attributes:
@@ -42,7 +47,9 @@
     contend_at: float
 
 
-def first_try_at(standing: Standing, now: float, luck: float) -> float:
+def compute_first_try_at(
+    standing: LeaseStanding, now: float, luck: float
+) -> float:
     """Returns when to try first, after there has come something to do.
 
     Args:
@@ -56,7 +63,9 @@
     return now + patience_s + _turn_s(standing.rank, luck)
 
 
-def next_try_at(standing: Standing, now: float, luck: float) -> float:
+def compute_next_try_at(
+    standing: LeaseStanding, now: float, luck: float
+) -> float:
     """Returns when to try again, after a try that did not bring the lease.
 
     Args:
@@ -68,7 +77,7 @@
         return now + _HOLDER_RETRY_S
     at = max(now + _HOLDER_PATIENCE_S, standing.contend_at)
     at += _turn_s(standing.rank, luck)
-    if standing.rank < WATCHING_HOSTS:
+    if standing.rank < WATCHING_HOST_COUNT:
         return min(at, now + _WATCH_S)
     return at
 
--- a/tests/coordination/gateway/orders/test_weights_notices.py
+++ b/tests/coordination/gateway/orders/test_weights_notices.py
@@ -106,7 +106,9 @@
                     ]
                     self.assertEqual(sorted(read_to), positions)
 
-                with mock.patch.object(succession, "WATCHING_HOSTS", followers):
+                with mock.patch.object(
+                    succession, "WATCHING_HOST_COUNT", followers
+                ):
                     scene_lib.play(story, engines=1, plain=0)
 
     def test_notice_for_an_earlier_start_changes_nothing(self):
--- a/tests/state/cluster/test_lease.py
+++ b/tests/state/cluster/test_lease.py
@@ -46,7 +46,7 @@
             start = self.contender.state.position + 1
             for offset in range(start, len(log.records)):
                 self.contender.read(offset, log.records[offset], own)
-            self.contender.start_waiting(own)
+            self.contender.note_caught_up(own)
         if self.contender.should_renew(own) or self.contender.may_contend(own):
             record = self.contender.begin_append(own)
             delay = self.chooser.choice([0, 0, 0.05, 0.5, TTL])
@@ -79,7 +79,7 @@
 
     def test_paused_holder_finds_that_its_time_has_passed(self):
         contender = lease.Contender("a", TTL)
-        contender.start_waiting(0.0)
+        contender.note_caught_up(0.0)
         record = contender.begin_append(0.0)
         contender.read(0, lease.encode_lease(record), 0.1)
         self.assertTrue(contender.may_act(2.0))
@@ -97,7 +97,7 @@
         state = lease.LeaseState()
         for offset, payload in enumerate([b"\xff", b"{}", b'{"op":"new"}']):
             self.assertFalse(state.apply(offset, payload))
-        self.assertEqual(state.holder, lease.NOBODY)
+        self.assertEqual(state.holder, lease.NO_HOLDER)
 
 
 class ReleaseTest(unittest.TestCase):
--- a/tests/state/cluster/test_succession.py
+++ b/tests/state/cluster/test_succession.py
@@ -27,10 +27,10 @@
 
     def standing(self):
         state = self.contender.state
-        return succession.Standing(
+        return succession.LeaseStanding(
             self.rank,
             state.holder == self.contender.name,
-            state.holder != lease.NOBODY,
+            state.holder != lease.NO_HOLDER,
             self.contender.contend_at,
         )
 
@@ -39,7 +39,7 @@
         start = self.contender.state.position + 1
         for offset in range(start, len(self.log)):
             self.contender.read(offset, self.log[offset], now)
-        self.contender.start_waiting(now)
+        self.contender.note_caught_up(now)
 
     def append(self, now):
         record = self.contender.begin_append(now)
@@ -52,7 +52,7 @@
             return False
         if not self.needed:
             self.needed = True
-            self.try_at = succession.first_try_at(
+            self.try_at = succession.compute_first_try_at(
                 self.standing(), now, self.luck.random()
             )
         if now < self.try_at:
@@ -60,7 +60,7 @@
         self.ensure(now)
         if self.contender.may_act(now):
             return True
-        self.try_at = succession.next_try_at(
+        self.try_at = succession.compute_next_try_at(
             self.standing(), now, self.luck.random()
         )
         return False
@@ -161,20 +161,22 @@
             self.assertLess(first - 60.0, 2 * _TTL_S + 2.0)
 
     def test_host_that_ranks_first_steps_in_first(self):
-        calm = succession.Standing(0, False, True, 0.0)
+        calm = succession.LeaseStanding(0, False, True, 0.0)
         for rank in range(1, 8):
             later = calm._replace(rank=rank)
             self.assertLess(
-                succession.first_try_at(calm, 5.0, 1.0),
-                succession.first_try_at(later, 5.0, 0.0),
+                succession.compute_first_try_at(calm, 5.0, 1.0),
+                succession.compute_first_try_at(later, 5.0, 0.0),
             )
             self.assertLess(
-                succession.next_try_at(calm, 5.0, 1.0),
-                succession.next_try_at(later, 5.0, 0.0),
+                succession.compute_next_try_at(calm, 5.0, 1.0),
+                succession.compute_next_try_at(later, 5.0, 0.0),
             )
 
     def test_who_follows_late_does_not_ask_before_the_lease_is_over(self):
-        first = succession.Standing(0, False, True, 42.0)
+        first = succession.LeaseStanding(0, False, True, 42.0)
         late = first._replace(rank=5)
-        self.assertGreaterEqual(succession.next_try_at(late, 5.0, 0.0), 42.0)
-        self.assertLess(succession.next_try_at(first, 5.0, 1.0), 6.0)
+        self.assertGreaterEqual(
+            succession.compute_next_try_at(late, 5.0, 0.0), 42.0
+        )
+        self.assertLess(succession.compute_next_try_at(first, 5.0, 1.0), 6.0)
