--- a/hillthread/bench/slopes.py
+++ b/hillthread/bench/slopes.py
@@ -298,7 +298,7 @@
     def make() -> membership.Membership:
         members = membership.Membership(3.0)
         for number in range(420):
-            members.hear(f"host-{number}", "dc", "i", 5, 0.0)
+            members.note_contact(f"host-{number}", "dc", "i", 5, 0.0)
         return members
 
     size, members = _memory(make)
--- a/hillthread/coordination/admin.py
+++ b/hillthread/coordination/admin.py
@@ -221,7 +221,7 @@
             "in_force": keeper.in_force(),
             "log": self.follower.state if self.follower else "none",
             "positions": self.node.positions,
-            "alive": self.node.members.alive(),
+            "alive": self.node.members.list_alive(),
             "routers": len(self.node.hub.routers()),
             "leaving": sorted(self.node.departures.leaving),
             "unreadable_records": keeper.configuration.unreadable_count,
--- a/hillthread/coordination/control_node.py
+++ b/hillthread/coordination/control_node.py
@@ -70,7 +70,7 @@
         )
         self.records = record_finder.RecordFinder(self.hub)
         for peer in settings.peers:
-            self.members.know(peer.host, peer.data_centre)
+            self.members.add_host(peer.host, peer.data_centre)
         self.keeper.awaits_peers = bool(settings.peers)
         self._started_at = clock.now()
         self.position_metric = prometheus_client.Gauge(
@@ -91,7 +91,7 @@
     def snapshot_rank(self) -> int:
         """Returns this host's turn to write a snapshot."""
         own = self.settings.host
-        hosts = [*self.members.alive(), own]
+        hosts = [*self.members.list_alive(), own]
         return placement.rank_by_rendezvous(b"snapshot", hosts).index(own)
 
     async def run_heartbeats(self) -> None:
@@ -105,7 +105,7 @@
                 self.hub.send(link, self._heartbeat(link))
             self.beats += 1
             if self.members.tick(clock.now()):
-                self.alive_metric.set(len(self.members.alive()))
+                self.alive_metric.set(len(self.members.list_alive()))
             self._tell_members()
 
     async def handle(
@@ -173,7 +173,7 @@
             self._serve_router(link)
             self._tell_departures(link)
             return
-        self.members.hear(
+        self.members.note_contact(
             link.peer.host,
             link.peer.data_centre,
             link.peer.incarnation,
@@ -248,7 +248,7 @@
         self, link: hub_lib.OpenLink, message: messages.Heartbeat
     ) -> None:
         peer = link.peer
-        self.members.hear(
+        self.members.note_contact(
             peer.host,
             peer.data_centre,
             peer.incarnation,
@@ -314,7 +314,7 @@
         others = [
             peer for peer in self.settings.peers if peer.data_centre == own
         ]
-        heard = len(self.members.alive(own))
+        heard = len(self.members.list_alive(own))
         message = messages.Members(heard, max(0, len(others) - heard))
         self.hub.broadcast(self.hub.routers(), message)
 
--- a/hillthread/coordination/engine_roster.py
+++ b/hillthread/coordination/engine_roster.py
@@ -61,7 +61,7 @@
         They change with the configuration and the live hosts only; ranking
         all targets at each poll would cost more than reading them.
         """
-        alive = self.members.alive(self.data_centre)
+        alive = self.members.list_alive(self.data_centre)
         hosts = sorted([*alive, self.host])
         key = (self.keeper.position, tuple(hosts))
         if self._watched_key != key:
--- a/hillthread/state/cluster/membership.py
+++ b/hillthread/state/cluster/membership.py
@@ -47,16 +47,16 @@
     def __init__(self, suspect_s: float):
         self.suspect_s = suspect_s
         self.members: dict[str, Member] = {}
-        self.changes = 0
+        self.change_count = 0
         self._alive: frozenset[str] = frozenset()
         self._ticked_at: float | None = None
 
-    def know(self, host: str, data_centre: str) -> None:
+    def add_host(self, host: str, data_centre: str) -> None:
         """Notes that a host exists, without having heard it."""
         if host not in self.members:
             self.members[host] = Member(host, data_centre)
 
-    def hear(
+    def note_contact(
         self,
         host: str,
         data_centre: str,
@@ -85,11 +85,11 @@
             if now - member.heard_at <= self.suspect_s
         )
         changed = alive != self._alive
-        self.changes += len(alive ^ self._alive)
+        self.change_count += len(alive ^ self._alive)
         self._alive = alive
         return changed
 
-    def alive(self, data_centre: str | None = None) -> list[str]:
+    def list_alive(self, data_centre: str | None = None) -> list[str]:
         """Returns the hosts judged alive, of one data centre or of all."""
         return sorted(
             host
