--- a/hillthread/coordination/claim_keeper.py
+++ b/hillthread/coordination/claim_keeper.py
@@ -148,7 +148,7 @@
 
     def _holder(self, digest: str) -> str | None:
         """Returns who has a key, releases under way left out."""
-        holder = self.index.holder(digest)
+        holder = self.index.find_holder(digest)
         if holder is None:
             return None
         claim = claim_index.Claim(digest, holder)
@@ -158,7 +158,7 @@
         self._releasing = {
             claim
             for claim in self._releasing
-            if self.index.holder(claim.digest) == claim.holder
+            if self.index.find_holder(claim.digest) == claim.holder
         }
         waiting = []
         for pending in self._appended:
@@ -175,7 +175,7 @@
         while True:
             await anyio.sleep(_RETRY_S)
             now = clock.now()
-            self.index.forget(now)
+            self.index.expire(now)
             due = now - _DECIDE_S
             expired = [p for p in self._appended if p.asked_at < due]
             self._appended = [p for p in self._appended if p.asked_at >= due]
--- a/hillthread/state/cluster/claim_index.py
+++ b/hillthread/state/cluster/claim_index.py
@@ -113,18 +113,18 @@
         except errors.ConfigurationError:
             self.unreadable += 1
             return
-        self.forget(now)
+        self.expire(now)
         for claim in batch.releases:
             self._drop(claim)
         for claim in batch.claims:
             self._take(claim, now)
 
-    def holder(self, digest: str) -> str | None:
+    def find_holder(self, digest: str) -> str | None:
         """Returns who has a key, or None."""
         held = self._held.get(digest)
         return None if held is None else held.holder
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forgets the claims that were read longer ago than the window."""
         due = now - self.window_s
         while self._held:
@@ -140,5 +140,5 @@
         self._held[claim.digest] = _Held(holder, now)
 
     def _drop(self, claim: Claim) -> None:
-        if self.holder(claim.digest) == claim.holder:
+        if self.find_holder(claim.digest) == claim.holder:
             del self._held[claim.digest]
--- a/tests/state/cluster/test_claim_index.py
+++ b/tests/state/cluster/test_claim_index.py
@@ -40,24 +40,24 @@
             for again in range(chooser.randint(0, offset + 1)):
                 index.apply(again, encode(batches[again]), 0.0)
             index.apply(offset, encode(batch), 0.0)
-        found = {key: index.holder(key) for key in expected}
+        found = {key: index.find_holder(key) for key in expected}
         self.assertEqual(found, expected)
 
     def test_old_claims_are_forgotten_by_own_time(self):
         index = claim_index.ClaimIndex(10.0)
         index.apply(0, encode([("a", "x")]), 0.0)
         index.apply(1, encode([("b", "x")]), 9.0)
-        self.assertEqual(index.holder("a"), "x")
+        self.assertEqual(index.find_holder("a"), "x")
         index.apply(2, encode([]), 11.0)
-        self.assertIsNone(index.holder("a"))
+        self.assertIsNone(index.find_holder("a"))
         self.assertEqual(len(index), 1)
 
     def test_old_claims_are_forgotten_without_a_record(self):
         index = claim_index.ClaimIndex(10.0)
         index.apply(0, encode([("a", "x")]), 0.0)
-        index.forget(10.0)
-        self.assertEqual(index.holder("a"), "x")
-        index.forget(10.1)
+        index.expire(10.0)
+        self.assertEqual(index.find_holder("a"), "x")
+        index.expire(10.1)
         self.assertEqual(len(index), 0)
 
     def test_clock_ahead_forgets_nothing(self):
@@ -65,8 +65,8 @@
         index.apply(0, encode([("a", "x")], made_at=100.0), 0.0)
         index.apply(1, encode([("b", "x")], made_at=3_700.0), 1.0)
         index.apply(2, encode([("a", "y")], made_at=101.0), 2.0)
-        self.assertEqual(index.holder("a"), "x")
-        self.assertEqual(index.holder("b"), "x")
+        self.assertEqual(index.find_holder("a"), "x")
+        self.assertEqual(index.find_holder("b"), "x")
 
     def test_clock_ahead_keeps_nothing_that_comes_after(self):
         index = claim_index.ClaimIndex(10.0)
@@ -80,7 +80,7 @@
         index.apply(0, encode([("a", "x")], made_at=100.0), 0.0)
         index.apply(1, encode([("b", "x")], made_at=50.0), 9.0)
         index.apply(2, encode([], made_at=111.0), 11.0)
-        self.assertEqual(index.holder("b"), "x")
+        self.assertEqual(index.find_holder("b"), "x")
 
     def test_none_is_granted_twice_by_hosts_that_read_at_other_times(self):
         """One has read the first claim late and still keeps it."""
@@ -90,11 +90,11 @@
         late.apply(0, encode([("a", "x")]), 8.0)
         for index in (early, late):
             index.apply(1, encode([("a", "y")]), 11.0)
-        self.assertEqual(early.holder("a"), "y")
-        late.forget(19.0)
-        self.assertIsNotNone(late.holder("a"))
-        late.forget(21.5)
-        self.assertIsNone(late.holder("a"))
+        self.assertEqual(early.find_holder("a"), "y")
+        late.expire(19.0)
+        self.assertIsNotNone(late.find_holder("a"))
+        late.expire(21.5)
+        self.assertIsNone(late.find_holder("a"))
 
     def test_released_key_may_be_claimed_again(self):
         index = claim_index.ClaimIndex(10.0)
@@ -103,16 +103,16 @@
             1.0, [], [claim_index.Claim("a", "y"), claim_index.Claim("b", "x")]
         )
         index.apply(1, claim_index.encode_batch(release), 1.0)
-        self.assertEqual(index.holder("a"), "x")
+        self.assertEqual(index.find_holder("a"), "x")
         again = claim_index.ClaimBatch(
             8.0,
             [claim_index.Claim("a", "y")],
             [claim_index.Claim("a", "x")],
         )
         index.apply(2, claim_index.encode_batch(again), 8.0)
-        self.assertEqual(index.holder("a"), "y")
+        self.assertEqual(index.find_holder("a"), "y")
         index.apply(3, encode([]), 11.0)
-        self.assertEqual(index.holder("a"), "y")
+        self.assertEqual(index.find_holder("a"), "y")
 
     def test_unreadable_records_are_counted(self):
         index = claim_index.ClaimIndex(10.0)
