--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -64,7 +64,9 @@
             site, metrics, pool, tasks, work, quarantine, quotas, limits
         )
         self.quotas = quotas
-        self.samples = story_lib.SampleGate(site.settings.log_requests_per_s)
+        self.samples = story_lib.RequestSampler(
+            site.settings.log_requests_per_s
+        )
         self.inflight = 0
 
     async def handle(
@@ -79,7 +81,7 @@
         """
         request_id = _request_id(caller)
         self.samples.hosts = self.site.hosts
-        story = story_lib.Story(request_id, self.samples)
+        story = story_lib.RequestLog(request_id, self.samples)
         self.inflight += 1
         self.metrics.inflight.set(self.inflight)
         outcome = "left"
@@ -124,7 +126,7 @@
     def left_unserved(self, caller: http1_server.CallerRequest) -> None:
         """Notes a request whose caller left before it was served."""
         self.metrics.requests.labels("left", "").inc()
-        story = story_lib.Story(_request_id(caller), self.samples)
+        story = story_lib.RequestLog(_request_id(caller), self.samples)
         story.warn("requester_left", seconds=0.0, served=False)
 
     def refused_unread(self, status: int, reason: str) -> None:
@@ -162,7 +164,7 @@
         self,
         refusal: errors.RefusalError,
         answer: http1_server.CallerAnswer,
-        story: story_lib.Story,
+        story: story_lib.RequestLog,
         priority: int = 0,
     ) -> None:
         after_s = _return_after_s(refusal, priority)
--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -70,7 +70,7 @@
     prompt: attempts.PromptHeaders
     deadline: float
     last_event_id: int | None
-    story: story_lib.Story
+    story: story_lib.RequestLog
 
     @property
     def repeatable(self) -> bool:
@@ -114,7 +114,7 @@
 def admit(
     site: site_lib.Site,
     caller: http1_server.CallerRequest,
-    story: story_lib.Story,
+    story: story_lib.RequestLog,
 ) -> GatewayRequest:
     """Returns the request with what applies to it.
 
--- a/hillthread/coordination/gateway/serving/story.py
+++ b/hillthread/coordination/gateway/serving/story.py
@@ -13,7 +13,7 @@
 
 from hillthread import clock
 
-__all__ = ["SampleGate", "Story"]
+__all__ = ["RequestSampler", "RequestLog"]
 
 _logger = logging.getLogger("hillthread.request")
 
@@ -21,7 +21,7 @@
 _SAMPLING_HOSTS = 24
 
 
-class SampleGate:
+class RequestSampler:
     """Says which ordinary requests are logged: some a second, and no more.
 
     Many hosts share what some hosts would log: a sample tells no more of a site
@@ -39,7 +39,7 @@
         self._period = 0
         self._taken = 0
 
-    def take(self) -> bool:
+    def should_log(self) -> bool:
         """Returns whether to log the ordinary request that ended now."""
         length_s = max(1.0, self.hosts / _SAMPLING_HOSTS)
         period = int(clock.now() / length_s)
@@ -50,7 +50,7 @@
         return self._taken <= self.per_s
 
 
-class Story:
+class RequestLog:
     """What happened to one request.
 
     Attributes:
@@ -59,10 +59,10 @@
         unusual: Whether every line is written.
     """
 
-    def __init__(self, request_id: str, gate: SampleGate):
+    def __init__(self, request_id: str, sampler: RequestSampler):
         self.request_id = request_id
-        self.gate = gate
-        self.unusual = False
+        self.sampler = sampler
+        self.is_unusual = False
         self._held: list[dict[str, Any]] = []
 
     def note(self, event: str, **fields: Any) -> None:
@@ -70,20 +70,20 @@
         fields["at"] = round(time.time(), 4)
         fields["event"] = event
         fields["request"] = self.request_id
-        if self.unusual:
+        if self.is_unusual:
             _logger.info(event, extra=fields)
             return
         self._held.append(fields)
 
     def warn(self, event: str, **fields: Any) -> None:
         """Notes what was not planned, and writes all lines held."""
-        self.unusual = True
+        self.is_unusual = True
         self._write_held()
         self.note(event, **fields)
 
     def close(self) -> None:
         """Ends the story: an ordinary one is written if sampled."""
-        if self._held and self.gate.take():
+        if self._held and self.sampler.should_log():
             self._write_held()
 
     def _write_held(self) -> None:
--- a/tests/coordination/gateway/serving/test_story.py
+++ b/tests/coordination/gateway/serving/test_story.py
@@ -6,20 +6,20 @@
 from hillthread.coordination.gateway.serving import story
 
 
-def count_logged(gate, seconds, per_s):
+def count_logged(sampler, seconds, per_s):
     """Returns how many of the requests of some seconds are logged."""
     times = [800.0 + number / per_s for number in range(seconds * per_s)]
     with mock.patch.object(story.clock, "now", side_effect=times):
-        return sum(gate.take() for _ in times)
+        return sum(sampler.should_log() for _ in times)
 
 
-class SampleGateTest(unittest.TestCase):
+class RequestSamplerTest(unittest.TestCase):
     def test_few_hosts_log_so_many_a_second(self):
-        gate = story.SampleGate(2)
-        gate.hosts = 8
-        self.assertEqual(count_logged(gate, 16, 10), 32)
+        sampler = story.RequestSampler(2)
+        sampler.hosts = 8
+        self.assertEqual(count_logged(sampler, 16, 10), 32)
 
     def test_many_hosts_share_what_some_would_log(self):
-        gate = story.SampleGate(2)
-        gate.hosts = 192
-        self.assertEqual(count_logged(gate, 16, 10), 4)
+        sampler = story.RequestSampler(2)
+        sampler.hosts = 192
+        self.assertEqual(count_logged(sampler, 16, 10), 4)
