--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -90,7 +90,7 @@
         try:
             await self.site.wait_known(caller.arrived)
             request = intake.admit(self.site, caller, story)
-            await self.quotas.wait_first(request)
+            await self.quotas.wait_at_startup(request)
             self.quotas.admit(request)
             self._note_admitted(request)
             job = self.dispatcher.job(request, answer)
--- a/hillthread/coordination/gateway/serving/limit_keeper.py
+++ b/hillthread/coordination/gateway/serving/limit_keeper.py
@@ -73,17 +73,17 @@
         send()
         if is_new or meaning.limit_per_s is None:
             self.tasks.start_soon(work_feed.resend, send)
-            self.quotas.wake()
+            self.quotas.send_usage_soon()
 
     def charge(self, target: str) -> None:
         """Counts a request that is about to be sent to a target."""
         if self.limits.charge(target, clock.now()):
-            self.quotas.wake()
+            self.quotas.send_usage_soon()
 
     def refund(self, target: str) -> None:
         """Refunds a request that never reached its target."""
         if self.limits.refund(target, clock.now()):
-            self.quotas.wake()
+            self.quotas.send_usage_soon()
 
     # Choice of a target.
 
@@ -120,7 +120,7 @@
             return  # not listed here yet, gone, or of an earlier start
         if self.limits.apply_peer_limit(target, notice.per_s, clock.now()):
             self._note(target, notice.per_s, "host")
-            self.quotas.wake()
+            self.quotas.send_usage_soon()
 
     def forget(self, target: str) -> None:
         """Forgets a target that is gone or has restarted."""
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -125,7 +125,7 @@
             after_s,
         )
 
-    async def wait_first(self, request: intake.GatewayRequest) -> None:
+    async def wait_at_startup(self, request: intake.GatewayRequest) -> None:
         """Lets a request wait that comes in a process's first moments.
 
         A process that starts counts all of each quota as used, and earns only
@@ -154,7 +154,7 @@
         """
         self._charge(request, 1.0)
 
-    def give_back(self, request: intake.GatewayRequest) -> None:
+    def refund_request(self, request: intake.GatewayRequest) -> None:
         """Counts a send no more: no target has run it."""
         self._charge(request, -1.0)
 
@@ -165,9 +165,9 @@
             name, request.prompt.counted_tokens, now
         ).amount
         if self.ledger.charge(name, amount * sends, now):
-            self.wake()
+            self.send_usage_soon()
 
-    def wake(self) -> None:
+    def send_usage_soon(self) -> None:
         """Has other hosts told soon of what was sent."""
         self._due.set()
 
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -201,7 +201,7 @@
         may_have_run = attempt.sent and not isinstance(result, _NOT_RUN)
         self.runs += may_have_run
         if not may_have_run:
-            self.tools.quotas.give_back(self.request)
+            self.tools.quotas.refund_request(self.request)
         if not attempt.sent:
             self.tools.limits.refund(target.name)
         if isinstance(result, outcome_lib.Whole):
