--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -166,7 +166,7 @@
         )
         self.site.target_gone = self._close_idle
         self.site.target_forgotten = self.limits.forget
-        self.site.target_ended = self.quarantine.target_ended
+        self.site.target_ended = self.quarantine.record_target_end
         self.server = http1_server.Server(
             settings_lib.split_address(settings.listen),
             self.gateway.handle,
@@ -341,7 +341,7 @@
 
     def _take_host(self, record: topic_copy.TopicRecord) -> None:
         if record.key.startswith(host_registry.QUARANTINE_PREFIX):
-            self.quarantine.take_record(record)
+            self.quarantine.apply_record(record)
         else:
             self.hosts.take(record)
 
@@ -384,7 +384,7 @@
         self.tasks.start_soon(self.hosts.list_again, self._listed_entry)
         for key in keys:
             if key.startswith(host_registry.QUARANTINE_PREFIX):
-                self.quarantine.keep_again(key, self._is_lost)
+                self.quarantine.restore_record(key, self._is_lost)
 
     def _listed_entry(self) -> bytes:
         """Returns this host's entry in the store; empty if it has none."""
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -88,9 +88,9 @@
         limits: limit_keeper.LimitKeeper,
     ):
         self.monitor = reach_monitor.ReachMonitor(site, pool, tasks)
-        self.monitor.reached = quarantine.target_reached
+        self.monitor.reached = quarantine.record_target_reached
         self.monitor.refused = functools.partial(
-            quarantine.target_ended, evidence="nobody listens there"
+            quarantine.record_target_end, evidence="nobody listens there"
         )
         self.chooser = chooser_lib.Chooser(site, pool, limits)
         self.tools = sender_lib.JobTools(
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -209,7 +209,7 @@
         if refusal.meaning.incarnation not in ("", name):
             # Another target has the address: this one is gone.
             state.record_unreachable(now)
-            self.quarantine.target_ended(name, "another has its address")
+            self.quarantine.record_target_end(name, "another has its address")
             return
         if plan.weights_version is None:
             return
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -31,7 +31,7 @@
 from hillthread.state.routing import placement
 from hillthread.state.targets import quarantine
 
-__all__ = ["QuarantineKeeper", "SentTo"]
+__all__ = ["QuarantineKeeper", "TargetIncarnation"]
 
 _STORE_RETRY_S = 1.0
 _STORE_TRIES = 5
@@ -42,7 +42,7 @@
 _logger = logging.getLogger("hillthread.quarantine")
 
 
-class SentTo(NamedTuple):
+class TargetIncarnation(NamedTuple):
     """Where a request was sent.
 
     Attributes:
@@ -92,7 +92,7 @@
         self.tasks = tasks
         self._cut_off: dict[str, int] = {}
         self._stored: set[str] = set()
-        work.heard_of_suspects = self.take
+        work.heard_of_suspects = self.apply_notice
 
     # What attempts ask and show.
 
@@ -126,14 +126,14 @@
             retry_after_s=standing.held_s,
         )
 
-    def sent_to(self, target: str) -> SentTo:
+    def incarnation_of(self, target: str) -> TargetIncarnation:
         """Returns the start of a target that what is sent now reaches."""
-        return SentTo(target, self.site.targets.key_of(target))
+        return TargetIncarnation(target, self.site.targets.key_of(target))
 
-    def learn(
+    def record_outcome(
         self,
         request: intake.GatewayRequest,
-        sent: SentTo,
+        sent: TargetIncarnation,
         result: outcome_lib.Outcome | None,
         is_cut: bool,
     ) -> None:
@@ -162,13 +162,13 @@
 
     # What is found of targets.
 
-    def target_reached(self, target: str) -> None:
+    def record_target_reached(self, target: str) -> None:
         """Notes that a connection to a target came up."""
         incarnation = self._cut_off.get(target)
         if incarnation is not None:
             self.site.quarantine.mark_reachable(incarnation)
 
-    def target_ended(self, target: str, evidence: str) -> None:
+    def record_target_end(self, target: str, evidence: str) -> None:
         """Notes that a target is gone, or has started again.
 
         Args:
@@ -211,7 +211,7 @@
 
     # What others tell.
 
-    def take(self, notice: work_notice.SuspectNotice) -> None:
+    def apply_notice(self, notice: work_notice.SuspectNotice) -> None:
         """Takes in what another host has seen of a request."""
         now = clock.now()
         known = self.site.quarantine
@@ -223,7 +223,7 @@
             case work_notice.SuspectWord.ENDED:
                 known.record_end(notice.digest, notice.engine, now)
 
-    def take_record(self, record: topic_copy.TopicRecord) -> None:
+    def apply_record(self, record: topic_copy.TopicRecord) -> None:
         """Takes in what the store keeps of a request.
 
         Raises:
@@ -242,7 +242,7 @@
         for incarnation in entry.ended:
             self.site.quarantine.record_end(digest, incarnation, now, ago_s)
 
-    def keep_again(self, key: str, is_lost: Callable[[str], bool]) -> None:
+    def restore_record(self, key: str, is_lost: Callable[[str], bool]) -> None:
         """Has a record written again that a restored store has lost.
 
         Hosts agree on the order in which they look after it, so that mostly
@@ -258,9 +258,9 @@
         name = self.work.source.name
         if name in ranked:
             rank = ranked.index(name)
-            self.tasks.start_soon(self._keep_again, key, rank, is_lost)
+            self.tasks.start_soon(self._restore_record, key, rank, is_lost)
 
-    async def _keep_again(
+    async def _restore_record(
         self, key: str, rank: int, is_lost: Callable[[str], bool]
     ) -> None:
         spread_s = host_registry.rewrite_spread_s(self.site.hosts)
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -86,7 +86,7 @@
     attempt: attempt_lib.Attempt
     state: target_state.TargetState
     first_byte: learning.FirstByte
-    sent_to: quarantine_keeper.SentTo
+    sent_to: quarantine_keeper.TargetIncarnation
     is_suspect: bool
 
 
@@ -143,7 +143,7 @@
             self._attempt(planned, state, incarnation),
             state,
             first_byte,
-            self.tools.quarantine.sent_to(name),
+            self.tools.quarantine.incarnation_of(name),
             is_suspect,
         )
         self._begin(sending)
@@ -211,7 +211,7 @@
         self.tools.learner.learn(
             attempt, sending.state, result, sending.first_byte.started
         )
-        self.tools.quarantine.learn(
+        self.tools.quarantine.record_outcome(
             self.request, sending.sent_to, result, attempt.cut
         )
         if attempt.cut:
