--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -67,7 +67,7 @@
         self,
         pool: http1_client.ConnectionPool,
         tasks: anyio.abc.TaskGroup,
-        monitor: reach_monitor.ReachMonitor,
+        monitor: reach_monitor.ReachabilityMonitor,
         request: intake.GatewayRequest,
         plan: attempt_plan.AttemptPlan,
         relay: event_relay.EventRelay,
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -87,9 +87,9 @@
         quotas: quota_keeper.QuotaKeeper,
         limits: limit_keeper.LimitKeeper,
     ):
-        self.monitor = reach_monitor.ReachMonitor(site, pool, tasks)
-        self.monitor.reached = quarantine.record_target_reached
-        self.monitor.refused = functools.partial(
+        self.monitor = reach_monitor.ReachabilityMonitor(site, pool, tasks)
+        self.monitor.on_reached = quarantine.record_target_reached
+        self.monitor.on_refused = functools.partial(
             quarantine.record_target_end, evidence="nobody listens there"
         )
         self.chooser = chooser_lib.Chooser(site, pool, limits)
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -128,7 +128,7 @@
         self,
         site: site_lib.Site,
         metrics: metrics_lib.GatewayMetrics,
-        monitor: reach_monitor.ReachMonitor,
+        monitor: reach_monitor.ReachabilityMonitor,
         quarantine: quarantine_keeper.QuarantineKeeper,
     ):
         self.site = site
@@ -164,7 +164,7 @@
         fields["beside"] = state.open_attempts - 1
         match result:
             case outcome_lib.Unsent(reason):
-                self.monitor.note_unreachable(attempt.plan.target, reason)
+                self.monitor.mark_unreachable(attempt.plan.target, reason)
                 story.warn("attempt", reason=reason, **fields)
             case outcome_lib.Lost(reason) | outcome_lib.Broken(reason):
                 # What was ended here tells nothing of the target.
--- a/hillthread/coordination/gateway/serving/reach_monitor.py
+++ b/hillthread/coordination/gateway/serving/reach_monitor.py
@@ -28,7 +28,7 @@
 from hillthread.state.config import objects
 from hillthread.transport import http1_client
 
-__all__ = ["OpenAttempt", "ReachMonitor"]
+__all__ = ["OpenAttempt", "ReachabilityMonitor"]
 
 _TICK_S = 0.1
 # Interval while nothing waits and all targets can be reached.
@@ -69,7 +69,7 @@
         """Ends the attempt as lost if another can follow; returns whether."""
 
 
-class ReachMonitor:
+class ReachabilityMonitor:
     """Watches open attempts and targets that cannot be reached.
 
     Attributes:
@@ -90,8 +90,8 @@
         self.pool = pool
         self.tasks = tasks
         self.attempts: set[OpenAttempt] = set()
-        self.reached: Callable[[str], None] = _ignore
-        self.refused: Callable[[str], None] = _ignore
+        self.on_reached: Callable[[str], None] = _ignore
+        self.on_refused: Callable[[str], None] = _ignore
         self._probing: set[str] = set()
         self._probed_at: dict[str, float] = {}
         self._retry_at: dict[str, float] = {}
@@ -109,7 +109,7 @@
             self._check_attempts(now)
             self._probe_unreachable(now)
 
-    def note_unreachable(self, target: objects.Target, reason: str) -> None:
+    def mark_unreachable(self, target: objects.Target, reason: str) -> None:
         """Excludes a target to which no connection succeeds."""
         state = self.site.state(target.name)
         if state.is_unreachable:
@@ -127,7 +127,7 @@
             },
         )
 
-    def find_out(self, target: objects.Target) -> None:
+    def probe_now(self, target: objects.Target) -> None:
         """Probes a target now: a connection to it was cut."""
         self._start_probe(target, clock.now())
 
@@ -172,7 +172,7 @@
         finally:
             self._probing.discard(target.name)
         self._note_reached(target)
-        self.reached(target.name)
+        self.on_reached(target.name)
         self._find_silent(target)
         await self.pool.give_back(connection)
         if target.name in self._retry_at:
@@ -222,8 +222,8 @@
     ) -> None:
         now = clock.now()
         if error.refused:
-            self.refused(target.name)
-        self.note_unreachable(target, error.reason)
+            self.on_refused(target.name)
+        self.mark_unreachable(target, error.reason)
         pause_s = self._pause_s.get(target.name, _RETRY_S)
         self._retry_at[target.name] = now + pause_s * random.uniform(0.8, 1.2)
         self._pause_s[target.name] = min(_MAX_RETRY_S, pause_s * 1.5)
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -61,7 +61,7 @@
     pool: http1_client.ConnectionPool
     tasks: anyio.abc.TaskGroup
     chooser: chooser_lib.Chooser
-    monitor: reach_monitor.ReachMonitor
+    monitor: reach_monitor.ReachabilityMonitor
     learner: learning.Learner
     work: work_feed.WorkFeed
     quarantine: quarantine_keeper.QuarantineKeeper
@@ -216,7 +216,7 @@
         )
         if attempt.cut:
             # Whether the target has ended decides what may follow.
-            self.tools.monitor.find_out(target)
+            self.tools.monitor.probe_now(target)
         sending.state.end_attempt(sending.planned.attempt)
         if sending.is_suspect:
             self.tools.chooser.part_suspect(target.name)
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -180,7 +180,7 @@
                 silent = next(e for e in scene.engines if e.runs)
                 scene.stop_listening(silent)
                 state = scene.site.state(silent.name)
-                scene.program.gateway.dispatcher.monitor.note_unreachable(
+                scene.program.gateway.dispatcher.monitor.mark_unreachable(
                     scene.site.targets.entries[silent.name].target, "the test"
                 )
                 await scene.until(lambda: give_up.called)
