--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -100,7 +100,7 @@
             tasks,
             self.chooser,
             self.monitor,
-            learning.Learner(site, metrics, self.monitor, quarantine),
+            learning.OutcomeRecorder(site, metrics, self.monitor, quarantine),
             work,
             quarantine,
             quotas,
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -21,7 +21,7 @@
 from hillthread.state.routing import attempt_plan
 from hillthread.state.targets import target_state
 
-__all__ = ["FirstByte", "Learner"]
+__all__ = ["FirstByteRecorder", "OutcomeRecorder"]
 
 # A target that refused work is spared this long.
 _SPARE_S = 0.15
@@ -37,7 +37,7 @@
 _logger = logging.getLogger("hillthread.targets")
 
 
-class FirstByte:
+class FirstByteRecorder:
     """Notes the first byte of an attempt once.
 
     Attributes:
@@ -46,22 +46,22 @@
 
     def __init__(
         self,
-        learner: Learner,
+        outcome_recorder: OutcomeRecorder,
         request: intake.GatewayRequest,
         planned: chooser_lib.Planned,
         state: target_state.TargetState,
         started: float,
     ):
-        self.learner = learner
+        self.outcome_recorder = outcome_recorder
         self.request = request
         self.planned = planned
         self.state = state
         self.started = started
-        self.noted = False
+        self.is_recorded = False
 
-    def note(self) -> None:
+    def record(self) -> None:
         """Notes that the answer has begun; idempotent."""
-        if self.noted:
+        if self.is_recorded:
             return
         now = clock.now()
         estimate = self.planned.estimate
@@ -75,18 +75,18 @@
         )
         self._release(now, now - self.started)
         self._learn_rate(now - self.started)
-        self.learner.metrics.observe_first_byte(
+        self.outcome_recorder.metrics.observe_first_byte(
             self.request.tenant_name,
             self.request.route.name,
             now - self.request.caller.arrived,
         )
 
-    def note_none(self) -> None:
+    def record_none(self) -> None:
         """Notes that the answer never begins, if it has not.
 
         How long a refusal took tells nothing of how long an answer takes.
         """
-        if not self.noted:
+        if not self.is_recorded:
             self._release(clock.now(), None)
 
     def _learn_rate(self, seconds: float) -> None:
@@ -104,17 +104,17 @@
         if estimate.prefill_tokens < _LEAST_READ_TOKENS:
             return
         reading_s = seconds - estimate.fetch_s - _LEAST_FIRST_BYTE_S
-        site = self.learner.site
+        site = self.outcome_recorder.site
         for member in site.targets.members(self.planned.pool):
             load = site.state(member.target.name).load
             load.learn_prefill_rate(estimate.prefill_tokens, reading_s)
 
     def _release(self, now: float, seconds: float | None) -> None:
-        self.noted = True
+        self.is_recorded = True
         self.state.record_first_byte(now, self.planned.attempt, seconds)
 
 
-class Learner:
+class OutcomeRecorder:
     """Changes the host's beliefs after each attempt.
 
     Attributes:
@@ -137,7 +137,7 @@
         self.quarantine = quarantine
         self._asked: set[str] = set()
 
-    def learn(
+    def record_outcome(
         self,
         attempt: attempt_lib.Attempt,
         state: target_state.TargetState,
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -62,7 +62,7 @@
     tasks: anyio.abc.TaskGroup
     chooser: chooser_lib.Chooser
     monitor: reach_monitor.ReachabilityMonitor
-    learner: learning.Learner
+    outcome_recorder: learning.OutcomeRecorder
     work: work_feed.WorkFeed
     quarantine: quarantine_keeper.QuarantineKeeper
     quotas: quota_keeper.QuotaKeeper
@@ -85,7 +85,7 @@
     planned: chooser_lib.Planned
     attempt: attempt_lib.Attempt
     state: target_state.TargetState
-    first_byte: learning.FirstByte
+    first_byte: learning.FirstByteRecorder
     sent_to: quarantine_keeper.TargetIncarnation
     is_suspect: bool
 
@@ -135,8 +135,8 @@
         planned = planned._replace(attempt=number)
         state = self.site.state(name)
         incarnation = self.site.targets.key_of(name)
-        first_byte = learning.FirstByte(
-            self.tools.learner, self.request, planned, state, now
+        first_byte = learning.FirstByteRecorder(
+            self.tools.outcome_recorder, self.request, planned, state, now
         )
         sending = _Sending(
             planned,
@@ -190,7 +190,7 @@
         self.tools.quotas.charge(self.request)
         self.tools.limits.charge(name)
         self._tell(planned)
-        self.relay.begun = sending.first_byte.note
+        self.relay.begun = sending.first_byte.record
 
     def _end(
         self, sending: _Sending, result: outcome_lib.Outcome | None
@@ -205,10 +205,10 @@
         if not attempt.sent:
             self.tools.limits.refund(target.name)
         if isinstance(result, outcome_lib.Whole):
-            sending.first_byte.note()
-        sending.first_byte.note_none()
+            sending.first_byte.record()
+        sending.first_byte.record_none()
         # A trial of an ejected target has to tell before it ends.
-        self.tools.learner.learn(
+        self.tools.outcome_recorder.record_outcome(
             attempt, sending.state, result, sending.first_byte.started
         )
         self.tools.quarantine.record_outcome(
