--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -20,8 +20,8 @@
     "NOT_READY",
     "GatewayRequest",
     "admit",
-    "authorise",
-    "check_time",
+    "authenticate",
+    "check_deadline",
     "current_route",
     "not_ready",
 ]
@@ -128,7 +128,7 @@
             "The host does not know the configuration yet.", _SOON_S
         )
     route = _route(site, caller)
-    tenant = authorise(site, caller, route)
+    tenant = authenticate(site, caller, route)
     timeout_s = route.timeout_s
     asked_s = _deadline_s(caller)
     if asked_s is not None:
@@ -145,7 +145,7 @@
     )
 
 
-def authorise(
+def authenticate(
     site: site_lib.Site,
     caller: http1_server.CallerRequest,
     route: objects.Route,
@@ -177,7 +177,7 @@
     return tenant
 
 
-def check_time(request: GatewayRequest) -> None:
+def check_deadline(request: GatewayRequest) -> None:
     """Refuses a request whose time is too short for any target.
 
     Raises:
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -100,7 +100,7 @@
         try:
             if self.sends:
                 self._look_again()
-            intake.check_time(request)
+            intake.check_deadline(request)
             standing = self.tools.quarantine.admit(
                 request, self.runs, self.tries_suspect
             )
@@ -142,7 +142,7 @@
     def _look_again(self) -> None:
         """Checks the request against what is in force before a retry."""
         request = self.request
-        intake.authorise(self.site, request.caller, request.route)
+        intake.authenticate(self.site, request.caller, request.route)
         route = intake.current_route(self.site, request.caller)
         request.route = route or request.route
         if self.runs and not request.repeatable:
