--- a/hillthread/coordination/gateway/serving/cache_source.py
+++ b/hillthread/coordination/gateway/serving/cache_source.py
@@ -42,7 +42,7 @@
         self.watch = cache_watch.CacheWatch(site, pool)
         self.budgets: dict[str, save_budget.SaveBudget] = {}
 
-    def complete(
+    def add_cache_store(
         self,
         plan: attempt_plan.AttemptPlan,
         request: intake.GatewayRequest,
@@ -60,7 +60,7 @@
         store = self._store(affinity_key(request))
         if store is None:
             return plan
-        saves = self.watch.lacks(
+        saves = self.watch.may_lack(
             store.address, _events(request, plan.cache_scope)
         ) and self._may_save(store, request, token_bytes)
         return plan._replace(
@@ -78,7 +78,7 @@
         store = self._store(affinity_key(request))
         if store is None:
             return 0.0
-        if self.watch.lacks(store.address, _events(request, scope)):
+        if self.watch.may_lack(store.address, _events(request, scope)):
             return 0.0
         return store.link_bytes_per_s
 
--- a/hillthread/coordination/gateway/serving/cache_watch.py
+++ b/hillthread/coordination/gateway/serving/cache_watch.py
@@ -45,7 +45,7 @@
         self.pool = pool
         self.contents: dict[str, cache_contents.CacheContents] = {}
 
-    def lacks(
+    def may_lack(
         self, address: str, parts: list[cache_contents.CacheEvent]
     ) -> bool:
         """Returns whether a store may lack one of some parts."""
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -140,7 +140,7 @@
         entry = self.site.targets.entries[choice.name]
         planned = self._planned(request, pool, entry, look, last_event_id)
         lag = look.lags.get(choice.name)
-        plan = self.caches.complete(
+        plan = self.caches.add_cache_store(
             planned.plan, request, pool.cache_token_bytes
         )
         start_by = lag.start_by if lag else None
