--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -35,7 +35,7 @@
     """
 
     note_head: Callable[[attempts.AnswerMeaning], None]
-    claim_retry: Callable[[], bool]
+    reserve_retry: Callable[[], bool]
 
 
 class Attempt:
@@ -71,7 +71,7 @@
         request: intake.GatewayRequest,
         plan: attempt_plan.AttemptPlan,
         relay: event_relay.EventRelay,
-        most_idle: int,
+        max_idle: int,
         callbacks: Callbacks,
     ):
         self.pool = pool
@@ -80,18 +80,18 @@
         self.request = request
         self.plan = plan
         self.relay = relay
-        self.most_idle = most_idle
+        self.max_idle = max_idle
         self.meaning: attempts.AnswerMeaning | None = None
         self.reused = False
         self.sent = False
         self.target = plan.target
         self.callbacks = callbacks
-        self.heard_at = 0.0
+        self.last_received_at = 0.0
         self.connected_at = 0.0
         self.connection: http1_client.ClientConnection | None = None
-        self.given_up = ""
+        self.give_up_reason = ""
         self.found_silent = False
-        self.cut = False
+        self.closed_by_target = False
 
     async def run(self) -> outcome_lib.Outcome:
         """Returns how it ended."""
@@ -106,25 +106,25 @@
             return outcome_lib.Unsent(error.reason)
         self.reused = connection.requests > 0
         self.sent = True
-        self.heard_at = clock.now()
+        self.last_received_at = clock.now()
         self.connected_at = connection.opened_at
-        rested_s = self.heard_at - connection.used_at
+        rested_s = self.last_received_at - connection.used_at
         self.monitor.attempts.add(self)
         self.connection = connection
         try:
             return await self._exchange(connection)
         except http1_client.CallError as error:
-            was_ours = self.given_up and not self.found_silent
+            was_ours = self.give_up_reason and not self.found_silent
             if self.reused and self.meaning is None and not was_ours:
                 self.pool.note_dead(rested_s)
-            self.cut = error.sent and not self.given_up
-            reason = self.given_up or error.reason
+            self.closed_by_target = error.sent and not self.give_up_reason
+            reason = self.give_up_reason or error.reason
             return self._failed(http1_client.CallError(error.sent, reason))
         finally:
             self.monitor.attempts.discard(self)
             # Closing takes no time, and must not lose an answer that is here.
             with anyio.CancelScope(shield=True):
-                await self.pool.give_back(connection, self.most_idle)
+                await self.pool.give_back(connection, self.max_idle)
 
     def give_up(self, reason: str) -> bool:
         """Ends the attempt as lost if another can follow; returns whether.
@@ -133,9 +133,9 @@
         Only the target's connection is closed: a write to the caller that is
         under way must not be cut, since another attempt may go on after it.
         """
-        if self.given_up or not self.callbacks.claim_retry():
+        if self.give_up_reason or not self.callbacks.reserve_retry():
             return False
-        self.given_up = reason
+        self.give_up_reason = reason
         if self.connection is not None:
             self.tasks.start_soon(self.connection.close)
         return True
@@ -162,7 +162,7 @@
         if not connection.body_sent:
             self.tasks.start_soon(connection.send_body, sent)
         head = await self._read_head(connection)
-        self.heard_at = clock.now()
+        self.last_received_at = clock.now()
         if self.reused:
             self.pool.note_alive()
         self.meaning = attempts.decode_answer(head)
@@ -192,8 +192,8 @@
         start_by = self.plan.start_by
         with anyio.CancelScope(deadline=start_by or float("inf")):
             return await connection.read_head()
-        self.given_up = "not begun on old weights in time"
-        raise http1_client.CallError(True, self.given_up)
+        self.give_up_reason = "not begun on old weights in time"
+        raise http1_client.CallError(True, self.give_up_reason)
 
     async def _pass_over_body(
         self, connection: http1_client.ClientConnection
@@ -238,7 +238,7 @@
         await answer.end()
 
     def _note_heard(self) -> None:
-        self.heard_at = clock.now()
+        self.last_received_at = clock.now()
 
     def _check(
         self, head: http1_client.AnswerHead, meaning: attempts.AnswerMeaning
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -93,7 +93,7 @@
             quarantine.record_target_end, evidence="nobody listens there"
         )
         self.chooser = chooser_lib.Chooser(site, pool, limits)
-        self.tools = sender_lib.JobTools(
+        self.context = sender_lib.JobContext(
             site,
             metrics,
             pool,
@@ -116,7 +116,7 @@
         answer: http1_server.CallerAnswer,
     ) -> job_lib.Job:
         """Returns the job of a request, to be served."""
-        return job_lib.Job(self.tools, request, answer)
+        return job_lib.Job(self.context, request, answer)
 
     async def serve(self, job: job_lib.Job) -> None:
         """Answers a request.
@@ -141,7 +141,7 @@
         if job.last_answer is None:
             raise self._unanswered(job.run_state())
         # What is ready is delivered, also after the time.
-        await job.relay_last(job.last_answer)
+        await job.relay_last_answer(job.last_answer)
 
     def give_up(self) -> None:
         """Ends all jobs: their callers get final answers.
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -44,39 +44,39 @@
 
     def __init__(
         self,
-        tools: sender_lib.JobTools,
+        context: sender_lib.JobContext,
         request: intake.GatewayRequest,
         answer: http1_server.CallerAnswer,
     ):
-        self.tools = tools
-        self.site = tools.site
-        self.metrics = tools.metrics
+        self.context = context
+        self.site = context.site
+        self.metrics = context.metrics
         self.request = request
         self.answer = answer
         self.relay = event_relay.EventRelay(answer)
         self.sender = sender_lib.Sender(
-            tools, request, self.relay, self._claim_retry
+            context, request, self.relay, self._reserve_retry
         )
         self.tried: set[str] = set()
         self.mismatches: collections.Counter[str] = collections.Counter()
         self.last_answer: http1_client.WholeAnswer | None = None
-        self.retry_claimed = False
+        self.retry_reserved = False
         self.is_suspect = False
         self.tries_suspect = False
 
     @property
-    def sends(self) -> int:
+    def attempts_made(self) -> int:
         """Attempts so far."""
-        return self.sender.sends
+        return self.sender.attempts_made
 
     @property
-    def runs(self) -> int:
+    def possible_runs(self) -> int:
         """Attempts that may have run."""
-        return self.sender.runs
+        return self.sender.possible_runs
 
     def run_state(self) -> errors.RunState:
         """Returns whether the request has run, as far as it is known."""
-        if self.runs == 0:
+        if self.possible_runs == 0:
             return errors.RunState.NOT_RUN
         if self.last_answer is not None:
             return errors.RunState.RAN
@@ -91,28 +91,28 @@
         """
         while (planned := self._plan()) is not None:
             result = await self.sender.send(planned, self.is_suspect)
-            if not self._goes_on(result, planned):
+            if not self._handle_outcome(result, planned):
                 return
 
     def _plan(self) -> chooser_lib.Planned | None:
         """Returns the next attempt; None when the last failure is relayed."""
         request = self.request
         try:
-            if self.sends:
-                self._look_again()
+            if self.attempts_made:
+                self._recheck_request()
             intake.check_deadline(request)
-            standing = self.tools.quarantine.admit(
-                request, self.runs, self.tries_suspect
+            standing = self.context.quarantine.admit(
+                request, self.possible_runs, self.tries_suspect
             )
             self.is_suspect = standing.is_suspect
             self.tries_suspect = standing.ends >= quarantine.HOLD_MIN_ENDS
-            planned = self.tools.chooser.plan(
+            planned = self.context.chooser.plan(
                 request,
                 frozenset(self.tried),
                 self.relay.last_id,
                 chooser_lib.Apartness.of(standing),
             )
-            if not self.runs:
+            if not self.possible_runs:
                 self._check_aim(planned)
             return planned
         except errors.RefusalError as refusal:
@@ -139,13 +139,13 @@
             retry_after_s=aim_admission.queue_drain_s(expected),
         )
 
-    def _look_again(self) -> None:
+    def _recheck_request(self) -> None:
         """Checks the request against what is in force before a retry."""
         request = self.request
         intake.authenticate(self.site, request.caller, request.route)
         route = intake.current_route(self.site, request.caller)
         request.route = route or request.route
-        if self.runs and not request.repeatable:
+        if self.possible_runs and not request.repeatable:
             raise errors.RefusalError(
                 "target_failed",
                 502,
@@ -154,7 +154,7 @@
                 self.run_state(),
             )
 
-    def _goes_on(
+    def _handle_outcome(
         self, result: outcome_lib.Outcome, planned: chooser_lib.Planned
     ) -> bool:
         """Acts on the end of an attempt; returns whether another follows."""
@@ -201,24 +201,24 @@
     def _may_run_again(self) -> bool:
         return (
             self.request.repeatable
-            and self.runs < self.request.route.max_attempts
-            and self.sends < _MAX_SENDS
+            and self.possible_runs < self.request.route.max_attempts
+            and self.attempts_made < _MAX_SENDS
         )
 
-    def _claim_retry(self, planned: chooser_lib.Planned) -> bool:
+    def _reserve_retry(self, planned: chooser_lib.Planned) -> bool:
         """Charges the budget for an attempt after one that is given up now.
 
         Returns:
             Whether another attempt may follow.
         """
-        if not self.request.repeatable or self.sends >= _MAX_SENDS:
+        if not self.request.repeatable or self.attempts_made >= _MAX_SENDS:
             return False
-        if self.runs + 1 >= self.request.route.max_attempts:
+        if self.possible_runs + 1 >= self.request.route.max_attempts:
             return False
         if self.answer.started and not self._has_resumable_events():
             return False
-        self.retry_claimed = self._withdraw(planned, "given up")
-        return self.retry_claimed
+        self.retry_reserved = self._withdraw(planned, "given up")
+        return self.retry_reserved
 
     def _retry_or_refuse(
         self, planned: chooser_lib.Planned, reason: str
@@ -232,7 +232,7 @@
         if self.answer.started:
             self._resume_or_break(planned, reason)
             return True
-        if self.sends < _MAX_SENDS and self._withdraw(planned, reason):
+        if self.attempts_made < _MAX_SENDS and self._withdraw(planned, reason):
             return True
         if self.last_answer is not None:
             return False
@@ -299,8 +299,8 @@
 
     def _withdraw(self, planned: chooser_lib.Planned, reason: str) -> bool:
         """Returns whether the retry budget allows another attempt."""
-        if self.retry_claimed:
-            self.retry_claimed = False
+        if self.retry_reserved:
+            self.retry_reserved = False
             return True
         budget = self.site.budget(planned.pool.name)
         now = clock.now()
@@ -308,15 +308,15 @@
         self.request.story.warn(
             "retry" if allowed else "no_retry",
             reason=reason,
-            sends=self.sends,
-            runs=self.runs,
+            sends=self.attempts_made,
+            runs=self.possible_runs,
             budget_left=round(budget.remaining(now), 2),
         )
         if allowed:
             self.metrics.retries.labels(reason[:32]).inc()
         return allowed
 
-    async def relay_last(self, whole: http1_client.WholeAnswer) -> None:
+    async def relay_last_answer(self, whole: http1_client.WholeAnswer) -> None:
         """Passes on a target's whole answer.
 
         A status that promises that the request has not run must not be passed
@@ -339,7 +339,7 @@
 
     def _refusal(self, refusal: errors.RefusalError) -> errors.RefusalError:
         """Returns a refusal that is true of a request that may have run."""
-        if self.runs == 0:
+        if self.possible_runs == 0:
             return refusal
         return errors.RefusalError(
             refusal.code,
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -168,7 +168,9 @@
                 story.warn("attempt", reason=reason, **fields)
             case outcome_lib.Lost(reason) | outcome_lib.Broken(reason):
                 # What was ended here tells nothing of the target.
-                ejected = not attempt.given_up and state.record_failure(now)
+                ejected = not attempt.give_up_reason and state.record_failure(
+                    now
+                )
                 self.metrics.mismatches.labels(reason[:_MAX_REASON]).inc()
                 story.warn("attempt", reason=reason, ejected=ejected, **fields)
             case outcome_lib.NotRun(status):
--- a/hillthread/coordination/gateway/serving/reach_monitor.py
+++ b/hillthread/coordination/gateway/serving/reach_monitor.py
@@ -58,7 +58,7 @@
     """An attempt that waits for its target."""
 
     target: objects.Target
-    heard_at: float
+    last_received_at: float
     connected_at: float
     found_silent: bool
 
@@ -133,7 +133,7 @@
 
     def _check_attempts(self, now: float) -> None:
         for attempt in self.attempts:
-            quiet_s = now - attempt.heard_at
+            quiet_s = now - attempt.last_received_at
             if quiet_s < _UNACKNOWLEDGED_S or attempt.found_silent:
                 continue
             name = attempt.target.name
@@ -189,19 +189,19 @@
         for attempt in list(self.attempts):
             if attempt.target.name != target.name or attempt.found_silent:
                 continue
-            if now - attempt.heard_at < _UNACKNOWLEDGED_S:
+            if now - attempt.last_received_at < _UNACKNOWLEDGED_S:
                 continue
             if not attempt.is_unacknowledged():
                 continue
             attempt.found_silent = True
-            self.pool.suspect(attempt.heard_at)
+            self.pool.suspect(attempt.last_received_at)
             given_up = attempt.give_up("its connection is silent")
             _logger.warning(
                 "connection is silent",
                 extra={
                     "event": "connection_silent",
                     "target": target.name,
-                    "silent_s": round(now - attempt.heard_at, 3),
+                    "silent_s": round(now - attempt.last_received_at, 3),
                     "given_up": given_up,
                 },
             )
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -29,7 +29,7 @@
 from hillthread.state.targets import target_state
 from hillthread.transport import http1_client
 
-__all__ = ["JobTools", "Sender"]
+__all__ = ["JobContext", "Sender"]
 
 # Of the connections that a target takes from all hosts together; it resets
 # further ones, and the rest is for those that carry requests.
@@ -38,7 +38,7 @@
 _NOT_RUN = (outcome_lib.NotRun, outcome_lib.Unsent)
 
 
-class JobTools(NamedTuple):
+class JobContext(NamedTuple):
     """What all jobs share.
 
     Attributes:
@@ -104,18 +104,18 @@
 
     def __init__(
         self,
-        tools: JobTools,
+        context: JobContext,
         request: intake.GatewayRequest,
         relay: event_relay.EventRelay,
-        claim_retry: Callable[[chooser_lib.Planned], bool],
+        reserve_retry: Callable[[chooser_lib.Planned], bool],
     ):
-        self.tools = tools
-        self.site = tools.site
+        self.context = context
+        self.site = context.site
         self.request = request
         self.relay = relay
-        self.claim_retry = claim_retry
-        self.sends = 0
-        self.runs = 0
+        self.reserve_retry = reserve_retry
+        self.attempts_made = 0
+        self.possible_runs = 0
 
     async def send(
         self, planned: chooser_lib.Planned, is_suspect: bool
@@ -128,22 +128,22 @@
         """
         name = planned.plan.target.name
         now = clock.now()
-        if self.sends == 0:
+        if self.attempts_made == 0:
             self.site.budget(planned.pool.name).deposit(now)
-        self.sends += 1
-        number = f"{self.request.request_id}/{self.sends}"
+        self.attempts_made += 1
+        number = f"{self.request.request_id}/{self.attempts_made}"
         planned = planned._replace(attempt=number)
         state = self.site.state(name)
         incarnation = self.site.targets.key_of(name)
         first_byte = learning.FirstByteRecorder(
-            self.tools.outcome_recorder, self.request, planned, state, now
+            self.context.outcome_recorder, self.request, planned, state, now
         )
         sending = _Sending(
             planned,
             self._attempt(planned, state, incarnation),
             state,
             first_byte,
-            self.tools.quarantine.incarnation_of(name),
+            self.context.quarantine.incarnation_of(name),
             is_suspect,
         )
         self._begin(sending)
@@ -161,9 +161,9 @@
         incarnation: int,
     ) -> attempt_lib.Attempt:
         return attempt_lib.Attempt(
-            self.tools.pool,
-            self.tools.tasks,
-            self.tools.monitor,
+            self.context.pool,
+            self.context.tasks,
+            self.context.monitor,
             self.request,
             planned.plan,
             self.relay,
@@ -172,7 +172,7 @@
                 lambda meaning: self._note_head(
                     planned, state, incarnation, meaning
                 ),
-                lambda: self.claim_retry(planned),
+                lambda: self.reserve_retry(planned),
             ),
         )
 
@@ -181,14 +181,14 @@
         planned = sending.planned
         name = planned.plan.target.name
         if sending.is_suspect:
-            self.tools.chooser.suspects_on[name] += 1
+            self.context.chooser.suspects_on[name] += 1
         sending.state.begin_attempt(
             sending.first_byte.started,
             planned.attempt,
             planned.estimate.prefill_tokens,
         )
-        self.tools.quotas.charge(self.request)
-        self.tools.limits.charge(name)
+        self.context.quotas.charge(self.request)
+        self.context.limits.charge(name)
         self._tell(planned)
         self.relay.begun = sending.first_byte.record
 
@@ -199,27 +199,27 @@
         attempt = sending.attempt
         target = sending.planned.plan.target
         may_have_run = attempt.sent and not isinstance(result, _NOT_RUN)
-        self.runs += may_have_run
+        self.possible_runs += may_have_run
         if not may_have_run:
-            self.tools.quotas.refund_request(self.request)
+            self.context.quotas.refund_request(self.request)
         if not attempt.sent:
-            self.tools.limits.refund(target.name)
+            self.context.limits.refund(target.name)
         if isinstance(result, outcome_lib.Whole):
             sending.first_byte.record()
         sending.first_byte.record_none()
         # A trial of an ejected target has to tell before it ends.
-        self.tools.outcome_recorder.record_outcome(
+        self.context.outcome_recorder.record_outcome(
             attempt, sending.state, result, sending.first_byte.started
         )
-        self.tools.quarantine.record_outcome(
-            self.request, sending.sent_to, result, attempt.cut
+        self.context.quarantine.record_outcome(
+            self.request, sending.sent_to, result, attempt.closed_by_target
         )
-        if attempt.cut:
+        if attempt.closed_by_target:
             # Whether the target has ended decides what may follow.
-            self.tools.monitor.probe_now(target)
+            self.context.monitor.probe_now(target)
         sending.state.end_attempt(sending.planned.attempt)
         if sending.is_suspect:
-            self.tools.chooser.part_suspect(target.name)
+            self.context.chooser.part_suspect(target.name)
 
     def _most_idle(self, pool: objects.Pool) -> int:
         """Returns how many connections to a target this host may keep."""
@@ -244,10 +244,10 @@
             meaning: What the head of the answer says.
         """
         name = planned.plan.target.name
-        self.tools.announcements.apply_answer(name, incarnation, meaning)
+        self.context.announcements.apply_answer(name, incarnation, meaning)
         # One that has started again since has told nothing yet.
         if self.site.states.get(name) is state:
-            self.tools.limits.apply_answer(name, meaning)
+            self.context.limits.apply_answer(name, meaning)
 
     def _tell(self, planned: chooser_lib.Planned) -> None:
         """Notes and tells other hosts that an engine gets a prompt."""
@@ -264,4 +264,4 @@
             0,
         )
         self.site.note_prompt(target, notice)
-        self.tools.work.tell(notice)
+        self.context.work.tell(notice)
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -22,8 +22,8 @@
 
 
 def repeats_what_may_have_run():
-    job.Job._may_run_again = lambda self: self.sends < 3
-    job.Job._look_again = lambda self: None  # it would refuse, too
+    job.Job._may_run_again = lambda self: self.attempts_made < 3
+    job.Job._recheck_request = lambda self: None  # it would refuse, too
 
 
 def ends_cut_streams_cleanly():
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -314,7 +314,9 @@
             self.assertEqual(answer.head.status, 503)
             self.assertIn(b'"run":"not_run"', answer.body)
             self.assertTrue(answer.head.get(b"retry-after"))
-            with mock.patch.object(job_lib.Job, "_goes_on", side_effect=fault):
+            with mock.patch.object(
+                job_lib.Job, "_handle_outcome", side_effect=fault
+            ):
                 answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 502)
             self.assertIn(b'"run":"unknown"', answer.body)
