--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -191,7 +191,7 @@
             functools.partial(self.work.run, self.feed_server.address),
             self.quotas.run,
             self.hosts.list_host,
-            self.gateway.dispatcher.chooser.caches.watch.run,
+            self.gateway.dispatcher.chooser.cache_planner.watch.run,
             self.gateway.dispatcher.monitor.run,
             self._tick,
         ):
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -21,7 +21,7 @@
 from hillthread.state.targets import target_list
 from hillthread.transport import http1_client
 
-__all__ = ["Apartness", "Chooser", "Planned"]
+__all__ = ["AntiAffinity", "Chooser", "PlannedAttempt"]
 
 # First-byte time that old weights are worth, seconds.
 _BEHIND_S = 0.3
@@ -37,7 +37,7 @@
 _NO_TARGET_RETRY_S = 0.3
 
 
-class Apartness(enum.Enum):
+class AntiAffinity(enum.Enum):
     """From what a request is kept away under which targets may end."""
 
     NONE = enum.auto()
@@ -45,14 +45,16 @@
     ALL = enum.auto()
 
     @classmethod
-    def of(cls, standing: quarantine.QuarantineStatus) -> Apartness:
+    def for_standing(
+        cls, standing: quarantine.QuarantineStatus
+    ) -> AntiAffinity:
         """Returns what a request's standing asks for."""
         if standing.ends >= quarantine.CULPRIT_MIN_ENDS:
             return cls.ALL
         return cls.SUSPECTS if standing.is_suspect else cls.NONE
 
 
-class Planned(NamedTuple):
+class PlannedAttempt(NamedTuple):
     """A plan with what it rests on.
 
     Attributes:
@@ -65,7 +67,7 @@
     plan: attempt_plan.AttemptPlan
     pool: objects.Pool
     estimate: first_byte.Estimate
-    attempt: str = ""
+    attempt_id: str = ""
 
 
 class Chooser:
@@ -90,16 +92,16 @@
         self.pool = pool
         self.limits = limits
         self.metrics = site.metrics
-        self.caches = cache_source.CachePlanner(site, pool)
-        self.suspects_on: collections.Counter[str] = collections.Counter()
+        self.cache_planner = cache_source.CachePlanner(site, pool)
+        self.suspect_attempts: collections.Counter[str] = collections.Counter()
 
     def plan(
         self,
         request: intake.GatewayRequest,
         tried: frozenset[str],
         last_event_id: int | None,
-        apart: Apartness = Apartness.NONE,
-    ) -> Planned:
+        apart: AntiAffinity = AntiAffinity.NONE,
+    ) -> PlannedAttempt:
         """Returns the plan of the next attempt.
 
         Args:
@@ -140,17 +142,17 @@
         entry = self.site.targets.entries[choice.name]
         planned = self._planned(request, pool, entry, look, last_event_id)
         lag = look.lags.get(choice.name)
-        plan = self.caches.add_cache_store(
+        plan = self.cache_planner.add_cache_store(
             planned.plan, request, pool.cache_token_bytes
         )
         start_by = lag.start_by if lag else None
         return planned._replace(plan=plan._replace(start_by=start_by))
 
-    def part_suspect(self, target: str) -> None:
+    def note_suspect_ended(self, target: str) -> None:
         """Notes that an attempt of a suspect has ended."""
-        self.suspects_on[target] -= 1
-        if not self.suspects_on[target]:
-            del self.suspects_on[target]
+        self.suspect_attempts[target] -= 1
+        if not self.suspect_attempts[target]:
+            del self.suspect_attempts[target]
 
     def _pool(self, route: objects.Route) -> objects.Pool | None:
         """Returns one of the route's pools by their weights."""
@@ -184,7 +186,7 @@
         """Chooses a target that may be sent this request."""
         choice = self._choose(request, look, names)
         while choice.name and not self.limits.admit(choice.name, look.now):
-            look.keep_limits(choice.name)
+            look.exclude_limited(choice.name)
             choice = self._choose(request, look, names)
         return choice
 
@@ -210,7 +212,9 @@
             self.site.settings.data_centre,
         )
 
-    def _apart(self, look: pool_view.PoolView, apart: Apartness) -> list[str]:
+    def _apart(
+        self, look: pool_view.PoolView, apart: AntiAffinity
+    ) -> list[str]:
         """Returns the targets where a suspect may run.
 
         Those that ran on one target together would go on together to the next
@@ -218,11 +222,11 @@
         others each still goes where it costs least.
         """
         names = list(look.entries)
-        if apart is Apartness.NONE:
+        if apart is AntiAffinity.NONE:
             return names
-        free = [name for name in names if name not in self.suspects_on]
-        if apart is Apartness.ALL:
-            return [name for name in free if look.is_quiet(name)] or free
+        free = [name for name in names if name not in self.suspect_attempts]
+        if apart is AntiAffinity.ALL:
+            return [name for name in free if look.is_idle(name)] or free
         return free
 
     def _planned(
@@ -232,7 +236,7 @@
         entry: target_list.ListedTarget,
         look: pool_view.PoolView,
         last_event_id: int | None,
-    ) -> Planned:
+    ) -> PlannedAttempt:
         target = entry.target
         model = request.prompt.model
         version = (
@@ -250,7 +254,7 @@
             request.organisation,
             last_event_id=last_event_id,
         )
-        return Planned(plan, pool, look.expected(target.name))
+        return PlannedAttempt(plan, pool, look.expected(target.name))
 
 
 def no_target() -> errors.RefusalError:
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -94,7 +94,7 @@
             if not self._handle_outcome(result, planned):
                 return
 
-    def _plan(self) -> chooser_lib.Planned | None:
+    def _plan(self) -> chooser_lib.PlannedAttempt | None:
         """Returns the next attempt; None when the last failure is relayed."""
         request = self.request
         try:
@@ -110,7 +110,7 @@
                 request,
                 frozenset(self.tried),
                 self.relay.last_id,
-                chooser_lib.Apartness.of(standing),
+                chooser_lib.AntiAffinity.for_standing(standing),
             )
             if not self.possible_runs:
                 self._check_aim(planned)
@@ -120,7 +120,7 @@
                 return None
             raise self._refusal(refusal) from refusal
 
-    def _check_aim(self, planned: chooser_lib.Planned) -> None:
+    def _check_aim(self, planned: chooser_lib.PlannedAttempt) -> None:
         """Refuses a prompt that would wait for longer than its aim.
 
         Raises:
@@ -155,7 +155,7 @@
             )
 
     def _handle_outcome(
-        self, result: outcome_lib.Outcome, planned: chooser_lib.Planned
+        self, result: outcome_lib.Outcome, planned: chooser_lib.PlannedAttempt
     ) -> bool:
         """Acts on the end of an attempt; returns whether another follows."""
         name = planned.plan.target.name
@@ -190,7 +190,7 @@
 
     def _may_improve(
         self,
-        planned: chooser_lib.Planned,
+        planned: chooser_lib.PlannedAttempt,
         whole: http1_client.WholeAnswer,
     ) -> bool:
         """Returns whether a target's failure is worth another run."""
@@ -205,7 +205,7 @@
             and self.attempts_made < _MAX_SENDS
         )
 
-    def _reserve_retry(self, planned: chooser_lib.Planned) -> bool:
+    def _reserve_retry(self, planned: chooser_lib.PlannedAttempt) -> bool:
         """Charges the budget for an attempt after one that is given up now.
 
         Returns:
@@ -221,7 +221,7 @@
         return self.retry_reserved
 
     def _retry_or_refuse(
-        self, planned: chooser_lib.Planned, reason: str
+        self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> bool:
         """Returns whether another attempt follows one that has not run.
 
@@ -247,7 +247,7 @@
         )
 
     def _repeat_or_refuse(
-        self, planned: chooser_lib.Planned, reason: str
+        self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> bool:
         """Returns whether another attempt follows one that may have run.
 
@@ -270,7 +270,7 @@
         )
 
     def _resume_or_break(
-        self, planned: chooser_lib.Planned, reason: str
+        self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> None:
         """Lets a broken stream go on in another run, or breaks it off."""
         why_not = self._why_no_resume(planned, reason)
@@ -285,7 +285,9 @@
     def _has_resumable_events(self) -> bool:
         return self.request.route.resumable and self.relay.last_id is not None
 
-    def _why_no_resume(self, planned: chooser_lib.Planned, reason: str) -> str:
+    def _why_no_resume(
+        self, planned: chooser_lib.PlannedAttempt, reason: str
+    ) -> str:
         """Returns why a broken stream cannot go on; empty when it can."""
         if not self.request.route.resumable:
             return "its route is not resumable"
@@ -297,7 +299,9 @@
             return "the retry budget is spent"
         return ""
 
-    def _withdraw(self, planned: chooser_lib.Planned, reason: str) -> bool:
+    def _withdraw(
+        self, planned: chooser_lib.PlannedAttempt, reason: str
+    ) -> bool:
         """Returns whether the retry budget allows another attempt."""
         if self.retry_reserved:
             self.retry_reserved = False
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -48,7 +48,7 @@
         self,
         outcome_recorder: OutcomeRecorder,
         request: intake.GatewayRequest,
-        planned: chooser_lib.Planned,
+        planned: chooser_lib.PlannedAttempt,
         state: target_state.TargetState,
         started: float,
     ):
@@ -111,7 +111,7 @@
 
     def _release(self, now: float, seconds: float | None) -> None:
         self.is_recorded = True
-        self.state.record_first_byte(now, self.planned.attempt, seconds)
+        self.state.record_first_byte(now, self.planned.attempt_id, seconds)
 
 
 class OutcomeRecorder:
--- a/hillthread/coordination/gateway/serving/pool_view.py
+++ b/hillthread/coordination/gateway/serving/pool_view.py
@@ -39,7 +39,7 @@
     site: site_lib.Site
     pool: http1_client.ConnectionPool
     limits: limit_keeper.LimitKeeper
-    caches: cache_source.CachePlanner
+    cache_planner: cache_source.CachePlanner
 
 
 class PoolView:
@@ -62,7 +62,7 @@
     ):
         self.site = chooser.site
         self.pool = chooser.pool
-        self.caches = chooser.caches
+        self.cache_planner = chooser.cache_planner
         self.request = request
         self.token_bytes = 0.0
         self.shared = cache_source.shared_parts(request)
@@ -77,7 +77,7 @@
         self.limits = chooser.limits.limits
         self.limited: set[str] = set()
 
-    def keep_limits(self, name: str) -> None:
+    def exclude_limited(self, name: str) -> None:
         """Looks anew, at no target that may not be sent more."""
         self.limited.add(name)
         self.views.clear()
@@ -103,7 +103,7 @@
         self.views.append(view)
         return view
 
-    def is_quiet(self, name: str) -> bool:
+    def is_idle(self, name: str) -> bool:
         """Returns whether nothing runs on a target, as far as this host knows.
 
         Of other hosts' work it knows what waits to be read.
@@ -166,7 +166,9 @@
         if not self.shared or not self.token_bytes:
             return 0.0
         if scope not in self.fetch_rates:
-            bytes_per_s = self.caches.fetch_bytes_per_s(self.request, scope)
+            bytes_per_s = self.cache_planner.fetch_bytes_per_s(
+                self.request, scope
+            )
             self.fetch_rates[scope] = bytes_per_s / self.token_bytes
         return self.fetch_rates[scope]
 
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -82,7 +82,7 @@
         is_suspect: Targets may end under it.
     """
 
-    planned: chooser_lib.Planned
+    planned: chooser_lib.PlannedAttempt
     attempt: attempt_lib.Attempt
     state: target_state.TargetState
     first_byte: learning.FirstByteRecorder
@@ -107,7 +107,7 @@
         context: JobContext,
         request: intake.GatewayRequest,
         relay: event_relay.EventRelay,
-        reserve_retry: Callable[[chooser_lib.Planned], bool],
+        reserve_retry: Callable[[chooser_lib.PlannedAttempt], bool],
     ):
         self.context = context
         self.site = context.site
@@ -118,7 +118,7 @@
         self.possible_runs = 0
 
     async def send(
-        self, planned: chooser_lib.Planned, is_suspect: bool
+        self, planned: chooser_lib.PlannedAttempt, is_suspect: bool
     ) -> outcome_lib.Outcome:
         """Makes an attempt; returns how it ended.
 
@@ -132,7 +132,7 @@
             self.site.budget(planned.pool.name).deposit(now)
         self.attempts_made += 1
         number = f"{self.request.request_id}/{self.attempts_made}"
-        planned = planned._replace(attempt=number)
+        planned = planned._replace(attempt_id=number)
         state = self.site.state(name)
         incarnation = self.site.targets.key_of(name)
         first_byte = learning.FirstByteRecorder(
@@ -156,7 +156,7 @@
 
     def _attempt(
         self,
-        planned: chooser_lib.Planned,
+        planned: chooser_lib.PlannedAttempt,
         state: target_state.TargetState,
         incarnation: int,
     ) -> attempt_lib.Attempt:
@@ -181,10 +181,10 @@
         planned = sending.planned
         name = planned.plan.target.name
         if sending.is_suspect:
-            self.context.chooser.suspects_on[name] += 1
+            self.context.chooser.suspect_attempts[name] += 1
         sending.state.begin_attempt(
             sending.first_byte.started,
-            planned.attempt,
+            planned.attempt_id,
             planned.estimate.prefill_tokens,
         )
         self.context.quotas.charge(self.request)
@@ -217,9 +217,9 @@
         if attempt.closed_by_target:
             # Whether the target has ended decides what may follow.
             self.context.monitor.probe_now(target)
-        sending.state.end_attempt(sending.planned.attempt)
+        sending.state.end_attempt(sending.planned.attempt_id)
         if sending.is_suspect:
-            self.context.chooser.part_suspect(target.name)
+            self.context.chooser.note_suspect_ended(target.name)
 
     def _most_idle(self, pool: objects.Pool) -> int:
         """Returns how many connections to a target this host may keep."""
@@ -230,7 +230,7 @@
 
     def _note_head(
         self,
-        planned: chooser_lib.Planned,
+        planned: chooser_lib.PlannedAttempt,
         state: target_state.TargetState,
         incarnation: int,
         meaning: attempts.AnswerMeaning,
@@ -249,7 +249,7 @@
         if self.site.states.get(name) is state:
             self.context.limits.apply_answer(name, meaning)
 
-    def _tell(self, planned: chooser_lib.Planned) -> None:
+    def _tell(self, planned: chooser_lib.PlannedAttempt) -> None:
         """Notes and tells other hosts that an engine gets a prompt."""
         parts = self.request.prompt.parts
         if not parts:
--- a/tests/coordination/gateway/scene.py
+++ b/tests/coordination/gateway/scene.py
@@ -240,7 +240,7 @@
         *({"name": s.service, "kvStoreAddr": s.address} for s in stores),
     ]
     scene.configure(services=services)
-    caches = scene.program.gateway.dispatcher.chooser.caches.watch
+    caches = scene.program.gateway.dispatcher.chooser.cache_planner.watch
     await scene.until(
         lambda: sum(c.is_known for c in caches.contents.values()) == count
     )
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -261,7 +261,9 @@
             stores = await scene_lib.keep_caches(scene, 2)
             gone, other = stores
             scene.stop_listening(gone)
-            caches = scene.program.gateway.dispatcher.chooser.caches.watch
+            caches = (
+                scene.program.gateway.dispatcher.chooser.cache_planner.watch
+            )
             await scene.until(
                 lambda: not caches.contents[gone.address].is_answering
             )
@@ -293,7 +295,9 @@
                 (0, "+", salt, "aa", 288, "m"),
                 (1, "+", salt, "bb", 496, "m"),
             ]
-            caches = scene.program.gateway.dispatcher.chooser.caches.watch
+            caches = (
+                scene.program.gateway.dispatcher.chooser.cache_planner.watch
+            )
             await scene.until(
                 lambda: len(caches.contents.get(store.address, ())) == 2
             )
--- a/tests/coordination/gateway/serving/test_silent_connections.py
+++ b/tests/coordination/gateway/serving/test_silent_connections.py
@@ -160,7 +160,9 @@
             scene.tasks.start_soon(link.serve)
             keep = {"name": cache.service, "kvStoreAddr": link.address}
             scene.configure(services=[*scene.configuration["services"], keep])
-            caches = scene.program.gateway.dispatcher.chooser.caches.watch
+            caches = (
+                scene.program.gateway.dispatcher.chooser.cache_planner.watch
+            )
             await scene.until(
                 lambda: len(caches.contents.get(link.address, ())) == 2
             )
@@ -179,7 +181,9 @@
     def test_cache_that_is_gone_is_forgotten(self):
         async def story(scene):
             (cache,) = await scene_lib.keep_caches(scene, 1)
-            caches = scene.program.gateway.dispatcher.chooser.caches.watch
+            caches = (
+                scene.program.gateway.dispatcher.chooser.cache_planner.watch
+            )
             scene.scopes[cache.name].cancel()
             await scene.until(
                 lambda: not caches.contents[cache.address].is_known
