--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -175,7 +175,7 @@
             await self._pass_over_body(connection)
             return outcome_lib.NotRun(head.status, self.meaning)
         if self.request.route.streaming and head.status == 200:
-            self.relay.heard = self._note_heard
+            self.relay.on_received = self._note_heard
             await self.relay.run(connection, head)
             return outcome_lib.Relayed(head.status)
         return await self._collect(connection, head)
--- a/hillthread/coordination/gateway/serving/event_relay.py
+++ b/hillthread/coordination/gateway/serving/event_relay.py
@@ -37,13 +37,13 @@
 
     def __init__(self, answer: http1_server.CallerAnswer):
         self.answer = answer
-        self.last_id: int | None = None
+        self.last_event_id: int | None = None
         self.events = 0
         self.first_at: float | None = None
         self.longest_gap_s = 0.0
         self.weights_version: int | None = None
-        self.begun: Callable[[], None] = _nobody
-        self.heard: Callable[[], None] = _nobody
+        self.on_first_event: Callable[[], None] = _nobody
+        self.on_received: Callable[[], None] = _nobody
         self._last_at = 0.0
         self._run_began = False
 
@@ -60,7 +60,7 @@
         self._run_began = False
         splitter = event_stream.EventSplitter(_MAX_EVENT_BYTES)
         while part := await connection.read_part():
-            self.heard()
+            self.on_received()
             try:
                 events = splitter.feed(part)
             except errors.HillthreadError as error:
@@ -71,7 +71,7 @@
             raise http1_client.CallError(True, "stream without events")
         await self.answer.end()
 
-    def take_weights(self) -> int | None:
+    def take_weights_version(self) -> int | None:
         """Returns the weights told since the last call, or None."""
         version, self.weights_version = self.weights_version, None
         return version
@@ -92,9 +92,9 @@
     def _is_fresh(self, event: event_stream.Event) -> bool:
         if event.index is None:
             return True
-        if self.last_id is not None and event.index <= self.last_id:
+        if self.last_event_id is not None and event.index <= self.last_event_id:
             return False
-        self.last_id = event.index
+        self.last_event_id = event.index
         return True
 
     async def _pass_on(
@@ -105,7 +105,7 @@
         now = clock.now()
         if not self._run_began:
             self._run_began = True
-            self.begun()
+            self.on_first_event()
         if self.first_at is None:
             self.first_at = now
         else:
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -109,7 +109,7 @@
             planned = self.context.chooser.plan(
                 request,
                 frozenset(self.tried),
-                self.relay.last_id,
+                self.relay.last_event_id,
                 chooser_lib.AntiAffinity.for_standing(standing),
             )
             if not self.possible_runs:
@@ -279,11 +279,14 @@
             raise http1_server.BrokenAnswerError
         self.metrics.resumes.inc()
         self.request.story.warn(
-            "stream_resumes", after=self.relay.last_id, reason=reason
+            "stream_resumes", after=self.relay.last_event_id, reason=reason
         )
 
     def _has_resumable_events(self) -> bool:
-        return self.request.route.resumable and self.relay.last_id is not None
+        return (
+            self.request.route.resumable
+            and self.relay.last_event_id is not None
+        )
 
     def _why_no_resume(
         self, planned: chooser_lib.PlannedAttempt, reason: str
@@ -291,7 +294,7 @@
         """Returns why a broken stream cannot go on; empty when it can."""
         if not self.request.route.resumable:
             return "its route is not resumable"
-        if self.relay.last_id is None:
+        if self.relay.last_event_id is None:
             return "its events have no ids"
         if not self._may_run_again():
             return "it may not run on more targets"
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -189,7 +189,7 @@
     def _learn_weights(self, attempt: attempt_lib.Attempt) -> None:
         """Takes in the weights that an answer or its events told."""
         plan = attempt.plan
-        told = [attempt.relay.take_weights()]
+        told = [attempt.relay.take_weights_version()]
         if attempt.meaning is not None:
             told.append(attempt.meaning.weights_version)
         for version in told:
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -190,7 +190,7 @@
         self.context.quotas.charge(self.request)
         self.context.limits.charge(name)
         self._tell(planned)
-        self.relay.begun = sending.first_byte.record
+        self.relay.on_first_event = sending.first_byte.record
 
     def _end(
         self, sending: _Sending, result: outcome_lib.Outcome | None
