--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -145,7 +145,7 @@
                 self.limits,
             ).answer,
             caller_bounds.CallerBounds,
-            self.gateway.refused_unread,
+            self.gateway.note_bad_request,
         )
         self.hosts = host_registry.HostRegistry(
             self.store,
@@ -171,8 +171,8 @@
             settings_lib.split_address(settings.listen),
             self.gateway.handle,
             lambda: self.site.bounds,
-            self.gateway.refused_unread,
-            self.gateway.left_unserved,
+            self.gateway.note_bad_request,
+            self.gateway.note_caller_left,
         )
         self.ready_server = self._status_server(settings.ready_listen)
         self.metrics_server = self._status_server(
@@ -214,7 +214,7 @@
             await self.rollout.lease.release()
         await self._wait_finished(give_up_at)
         cut = self.server.serving
-        self.gateway.dispatcher.give_up()
+        self.gateway.dispatcher.cancel_all()
         await self._wait_finished(clock.now() + _LAST_ANSWERS_S)
         _logger.info(
             "stopped",
@@ -249,7 +249,7 @@
             settings_lib.split_address(address),
             self.answer_status,
             caller_bounds.CallerBounds,
-            self.gateway.refused_unread,
+            self.gateway.note_bad_request,
         )
 
     def _followers(self) -> dict[str, store_follower.TopicFollower]:
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -110,7 +110,7 @@
         self.scopes: set[anyio.CancelScope] = set()
         self.stopped = False
 
-    def job(
+    def create_job(
         self,
         request: intake.GatewayRequest,
         answer: http1_server.CallerAnswer,
@@ -143,7 +143,7 @@
         # What is ready is delivered, also after the time.
         await job.relay_last_answer(job.last_answer)
 
-    def give_up(self) -> None:
+    def cancel_all(self) -> None:
         """Ends all jobs: their callers get final answers.
 
         The process is about to be killed; after that nobody could tell them
--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -93,7 +93,7 @@
             await self.quotas.wait_at_startup(request)
             self.quotas.admit(request)
             self._note_admitted(request)
-            job = self.dispatcher.job(request, answer)
+            job = self.dispatcher.create_job(request, answer)
             await self.dispatcher.serve(job)
             outcome = "answered"
             self._note_answered(request, answer)
@@ -123,13 +123,13 @@
                 )
             story.close()
 
-    def left_unserved(self, caller: http1_server.CallerRequest) -> None:
+    def note_caller_left(self, caller: http1_server.CallerRequest) -> None:
         """Notes a request whose caller left before it was served."""
         self.metrics.requests.labels("left", "").inc()
         story = story_lib.RequestLog(_request_id(caller), self.samples)
         story.warn("requester_left", seconds=0.0, served=False)
 
-    def refused_unread(self, status: int, reason: str) -> None:
+    def note_bad_request(self, status: int, reason: str) -> None:
         """Notes a request that could not be read."""
         self.metrics.bad_requests.labels(str(status)).inc()
         _logger.info(
