--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -205,7 +205,7 @@
         try:
             await connection.read_body(_WHOLE_BYTES)
         except http1_client.CallError as error:
-            self.request.story.warn("refusal_cut", reason=error.reason)
+            self.request.log.warn("refusal_cut", reason=error.reason)
 
     async def _collect(
         self,
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -125,7 +125,7 @@
             names = list(look.entries)
             choice = self._choose_within_limits(request, look, names)
         self.metrics.choices.labels(choice.reason).inc()
-        request.story.note(
+        request.log.note(
             "target_chosen" if choice.name else "no_target",
             target=choice.name,
             reason=choice.reason,
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -155,7 +155,7 @@
 
     def _note_cut(self, job: job_lib.Job) -> None:
         event = "stop_cut" if self.stopped else "deadline_passed"
-        job.request.story.warn(event, run=str(job.run_state()))
+        job.request.log.warn(event, run=str(job.run_state()))
 
     def _unanswered(self, run: errors.RunState) -> errors.RefusalError:
         """Returns the answer to a request that was cut before one came."""
--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -81,7 +81,7 @@
         """
         request_id = _request_id(caller)
         self.samples.hosts = self.site.hosts
-        story = story_lib.RequestLog(request_id, self.samples)
+        log = story_lib.RequestLog(request_id, self.samples)
         self.inflight += 1
         self.metrics.inflight.set(self.inflight)
         outcome = "left"
@@ -89,7 +89,7 @@
         job: job_lib.Job | None = None
         try:
             await self.site.wait_known(caller.arrived)
-            request = intake.admit(self.site, caller, story)
+            request = intake.admit(self.site, caller, log)
             await self.quotas.wait_at_startup(request)
             self.quotas.admit(request)
             self._note_admitted(request)
@@ -100,10 +100,10 @@
         except errors.RefusalError as refusal:
             outcome, code = "refused", refusal.code
             priority = job.request.priority if job else 0
-            await self._refuse(refusal, answer, story, priority)
+            await self._refuse(refusal, answer, log, priority)
         except http1_server.BrokenAnswerError:
             outcome = "broken"
-            story.warn("answer_broken")
+            log.warn("answer_broken")
             raise
         except http1.ConnectionLostError:
             pass  # told below
@@ -111,23 +111,23 @@
             outcome, code = "refused", "internal"
             _logger.exception("internal error", extra={"request": request_id})
             run = job.run_state() if job else errors.RunState.NOT_RUN
-            await self._refuse(_internal(run), answer, story)
+            await self._refuse(_internal(run), answer, log)
         finally:
             self.inflight -= 1
             self.metrics.inflight.set(self.inflight)
             self.metrics.requests.labels(outcome, code).inc()
             if outcome == "left":
-                story.warn(
+                log.warn(
                     "requester_left",
                     seconds=round(clock.now() - caller.arrived, 4),
                 )
-            story.close()
+            log.close()
 
     def note_caller_left(self, caller: http1_server.CallerRequest) -> None:
         """Notes a request whose caller left before it was served."""
         self.metrics.requests.labels("left", "").inc()
-        story = story_lib.RequestLog(_request_id(caller), self.samples)
-        story.warn("requester_left", seconds=0.0, served=False)
+        log = story_lib.RequestLog(_request_id(caller), self.samples)
+        log.warn("requester_left", seconds=0.0, served=False)
 
     def note_bad_request(self, status: int, reason: str) -> None:
         """Notes a request that could not be read."""
@@ -138,7 +138,7 @@
         )
 
     def _note_admitted(self, request: intake.GatewayRequest) -> None:
-        request.story.note(
+        request.log.note(
             "admitted",
             path=request.caller.path,
             digest=request.digest,
@@ -156,7 +156,7 @@
     ) -> None:
         seconds = clock.now() - request.caller.arrived
         self.metrics.observe_whole(request.route.name, seconds)
-        request.story.note(
+        request.log.note(
             "answered", seconds=round(seconds, 4), status=answer.status
         )
 
@@ -164,11 +164,11 @@
         self,
         refusal: errors.RefusalError,
         answer: http1_server.CallerAnswer,
-        story: story_lib.RequestLog,
+        log: story_lib.RequestLog,
         priority: int = 0,
     ) -> None:
         after_s = _return_after_s(refusal, priority)
-        story.warn(
+        log.warn(
             "refused",
             code=refusal.code,
             status=refusal.status,
@@ -182,7 +182,7 @@
             raise http1_server.BrokenAnswerError
         headers: http1.Headers = [
             _JSON,
-            (names.REQUEST_ID, story.request_id.encode("latin-1")),
+            (names.REQUEST_ID, log.request_id.encode("latin-1")),
         ]
         if after_s is not None:
             headers.append((names.RETRY_AFTER, b"%.3f" % after_s))
--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -70,7 +70,7 @@
     prompt: attempts.PromptHeaders
     deadline: float
     last_event_id: int | None
-    story: story_lib.RequestLog
+    log: story_lib.RequestLog
 
     @property
     def repeatable(self) -> bool:
@@ -114,7 +114,7 @@
 def admit(
     site: site_lib.Site,
     caller: http1_server.CallerRequest,
-    story: story_lib.RequestLog,
+    log: story_lib.RequestLog,
 ) -> GatewayRequest:
     """Returns the request with what applies to it.
 
@@ -135,13 +135,13 @@
         timeout_s = min(timeout_s, asked_s)
     return GatewayRequest(
         caller,
-        story.request_id,
+        log.request_id,
         route,
         tenant,
         attempts.decode_prompt(caller.headers),
         caller.arrived + timeout_s,
         attempts.whole_number(caller.get(names.LAST_EVENT_ID)),
-        story,
+        log,
     )
 
 
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -275,10 +275,10 @@
         """Lets a broken stream go on in another run, or breaks it off."""
         why_not = self._why_no_resume(planned, reason)
         if why_not:
-            self.request.story.warn("no_resume", reason=reason, why=why_not)
+            self.request.log.warn("no_resume", reason=reason, why=why_not)
             raise http1_server.BrokenAnswerError
         self.metrics.resumes.inc()
-        self.request.story.warn(
+        self.request.log.warn(
             "stream_resumes", after=self.relay.last_event_id, reason=reason
         )
 
@@ -312,7 +312,7 @@
         budget = self.site.budget(planned.pool.name)
         now = clock.now()
         allowed = budget.withdraw(now)
-        self.request.story.warn(
+        self.request.log.warn(
             "retry" if allowed else "no_retry",
             reason=reason,
             sends=self.attempts_made,
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -65,7 +65,7 @@
             return
         now = clock.now()
         estimate = self.planned.estimate
-        self.request.story.note(
+        self.request.log.note(
             "first_byte",
             seconds=round(now - self.started, 4),
             expected_s=round(estimate.total_s, 4),
@@ -159,32 +159,32 @@
         is_current = self.site.states.get(attempt.plan.target.name) is state
         if is_current:
             self._learn_weights(attempt)
-        story = attempt.request.story
+        log = attempt.request.log
         fields = _log_fields(attempt, kind, now - started)
         fields["beside"] = state.open_attempts - 1
         match result:
             case outcome_lib.Unsent(reason):
                 self.monitor.mark_unreachable(attempt.plan.target, reason)
-                story.warn("attempt", reason=reason, **fields)
+                log.warn("attempt", reason=reason, **fields)
             case outcome_lib.Lost(reason) | outcome_lib.Broken(reason):
                 # What was ended here tells nothing of the target.
                 ejected = not attempt.give_up_reason and state.record_failure(
                     now
                 )
                 self.metrics.mismatches.labels(reason[:_MAX_REASON]).inc()
-                story.warn("attempt", reason=reason, ejected=ejected, **fields)
+                log.warn("attempt", reason=reason, ejected=ejected, **fields)
             case outcome_lib.NotRun(status):
                 if is_current:
                     self._learn_refusal(attempt.plan, state, result, now)
-                story.warn("attempt", status=status, **fields)
+                log.warn("attempt", status=status, **fields)
             case outcome_lib.Whole(whole) if whole.head.status >= 500:
                 state.record_failure(now)
-                story.warn("attempt", status=whole.head.status, **fields)
+                log.warn("attempt", status=whole.head.status, **fields)
             case outcome_lib.Whole() | outcome_lib.Relayed():
                 state.record_success()
-                story.note("attempt", **fields)
+                log.note("attempt", **fields)
             case None:
-                story.warn("attempt", **fields)
+                log.warn("attempt", **fields)
 
     def _learn_weights(self, attempt: attempt_lib.Attempt) -> None:
         """Takes in the weights that an answer or its events told."""
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -120,7 +120,8 @@
         raise _refusal(
             f"{name} has used its quota of {quota.rate_per_s:.0f} "
             f"{quota.unit} a second over all hosts, and {-left:.0f} more; "
-            f"{window.reachable_share:.2f} of the hosts are in touch and share that part.",
+            f"{window.reachable_share:.2f} of the hosts are in touch and share "
+            "that part.",
             "Try again after the time in Retry-After, or send less.",
             after_s,
         )
