--- a/hillthread/state/targets/__init__.py
+++ b/hillthread/state/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Targets: which there are, how they stand, and what runs on them."""
+"""State of targets: membership, health, weights and requests to avoid."""
--- a/hillthread/state/targets/backoffs.py
+++ b/hillthread/state/targets/backoffs.py
@@ -1,4 +1,4 @@
-"""Back-offs that targets asked this host for."""
+"""Tracks back-offs that targets requested from this host."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class Backoffs:
-    """Until when targets that shed load want no request from this host."""
+    """Records until when overloaded targets want no request from this host."""
 
     def __init__(self):
         self._ends_at: dict[str, float] = {}
 
     def apply(self, target: str, seconds: float, now: float) -> bool:
-        """Applies a back-off; one that ends later stays.
+        """Starts or extends a back-off; one that ends later stays.
 
         Args:
             target: Name of the target.
-            seconds: How long it wants no request.
-            now: Seconds.
+            seconds: Length of the back-off.
+            now: Current time, seconds.
 
         Returns:
             Whether the target was not backing off before.
@@ -28,19 +28,19 @@
         return is_new
 
     def ends_at(self, target: str) -> float:
-        """Returns when the last back-off of a target ends, seconds."""
+        """Returns when a target's last back-off ends, in seconds."""
         return self._ends_at.get(target, float("-inf"))
 
     def is_active(self, target: str, now: float) -> bool:
-        """Returns whether a target wants no request now."""
+        """Returns whether a target is backing off."""
         return now < self.ends_at(target)
 
     def forget(self, target: str) -> None:
-        """Ends the back-off of a target that has started again."""
+        """Removes the back-off of a target that has restarted."""
         self._ends_at.pop(target, None)
 
     def remaining_s(self, now: float) -> dict[str, float]:
-        """Returns the seconds left by target, and drops what has ended."""
+        """Returns the seconds left by target and drops expired back-offs."""
         self._ends_at = {
             target: ends_at
             for target, ends_at in self._ends_at.items()
--- a/hillthread/state/targets/health.py
+++ b/hillthread/state/targets/health.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: how a router reacts to failures."""
+"""Circuit breakers that eject failing targets."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 __all__ = ["CircuitBreaker", "BreakerState"]
 
-# Ejections last at most this many times the first one.
+# Upper limit of an ejection's length, as a multiple of the first one's.
 _MAX_EJECT_FACTOR = 8
 
 
 class BreakerState(enum.StrEnum):
-    """Whether a target is given requests."""
+    """State of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -21,12 +21,12 @@
 class CircuitBreaker:
     """Ejects a target after consecutive failures, then probes it.
 
-    While half open it admits one request; its result closes or reopens the
-    breaker, each time for longer.
+    While half open it admits one request. The result of this request closes the
+    breaker or reopens it, each time for longer.
 
     Attributes:
-        eject_after: Consecutive failures that eject.
-        eject_s: Seconds of the first ejection.
+        eject_after: Number of consecutive failures that ejects the target.
+        eject_s: Length of the first ejection, seconds.
     """
 
     def __init__(self, eject_after: int, eject_s: float):
@@ -38,7 +38,7 @@
         self.is_probing = False
 
     def state(self, now: float) -> BreakerState:
-        """Returns the state at `now`, seconds."""
+        """Returns the state at `now`, in seconds."""
         if self.ejections == 0:
             return BreakerState.CLOSED
         if now < self.open_until or self.is_probing:
@@ -46,29 +46,29 @@
         return BreakerState.HALF_OPEN
 
     def admit(self, now: float) -> None:
-        """Notes that a request is sent; the only one while half open."""
+        """Records that a request is sent; only one is sent while half open."""
         if self.state(now) is BreakerState.HALF_OPEN:
             self.is_probing = True
 
     def record_success(self) -> None:
-        """Notes that the target answered as it should."""
+        """Records that the target answered correctly."""
         self.failures = 0
         self.ejections = 0
         self.is_probing = False
 
     def cancel_probe(self) -> None:
-        """Notes that a request ended without telling of the target."""
+        """Records that a request ended without showing the target's health."""
         self.is_probing = False
 
     def record_failure(self, now: float) -> None:
-        """Notes a failure that is the target's."""
+        """Records a failure caused by the target."""
         self.failures += 1
         if not self.is_probing and self.failures < self.eject_after:
             return
         self.trip(now)
 
     def trip(self, now: float) -> None:
-        """Ejects the target at once; one that is ejected stays so."""
+        """Ejects the target at once, unless it is ejected already."""
         if now < self.open_until:
             return
         self.is_probing = False
--- a/hillthread/state/targets/quarantine.py
+++ b/hillthread/state/targets/quarantine.py
@@ -1,18 +1,22 @@
-"""Requests under which targets end, told apart from those that ran beside them.
+"""Separates requests that crash targets from requests that ran beside them.
 
-A request may end every target that begins it. Its caller sends it again, under
-another id and to another host, so hosts tell each other which requests were
-open on a target that ended: all of these are suspects.
+A target counts as crashed when its process has terminated. A request may crash
+every target that starts it. Its caller sends it again, under another id and to
+another host, so hosts notify each other which requests were open on a crashed
+target. All of these requests are suspects.
 
-What separates the one that ends targets from the others:
+The culprit differs from the other suspects as follows:
 
-- It is there each time. Others part from it, because suspects are placed apart.
-- Others end well elsewhere. That acquits them at all hosts at once.
-- Ends at which one with more ends was open are its own, and nobody else's.
+- It was open at every crash. Other suspects were not, because suspects are
+  placed on different targets.
+- Other suspects succeed elsewhere, which clears them on all hosts at once.
+- A crash does not count against a request if another request with more crashes,
+  and at least three, was open too.
 
-A suspect of two ends is tried once more, by one host for all: two come easily
-to one that ran beside another. After a third it is tried where nothing else
-runs, as far as that host knows, and then held for longer after each end.
+A suspect with two crashes is tried once more, by one host on behalf of all,
+since a request that ran beside the culprit easily reaches two. After a third
+crash it is tried on a target where nothing else runs, as far as that host
+knows, and is then held for longer after each crash.
 """
 
 from __future__ import annotations
@@ -29,41 +33,49 @@
     "Suspect",
 ]
 
-# By ends: how long a request is held, seconds. After two it mostly proves
-# harmless, and the one that is not has ended a third target by then. Three come
-# to a harmless one, too, when targets end for other causes and nothing ran
-# beside it: one trial, alone on its target, soon tells. Later each trial costs
-# what runs on one target, for what hardly ever changes.
+# How long a request is held, in seconds, by its number of crashes. After two
+# crashes most requests prove harmless; a culprit has crashed a third target by
+# then. A harmless request reaches three crashes if targets crash for other
+# causes and nothing ran beside it; one trial alone on a target soon shows that.
+# Each later trial costs everything that runs on one target and hardly ever
+# changes the result.
 _HOLDS_S = {2: 1.0, 3: 1.5, 4: 30.0, 5: 300.0}
-_LONGEST_HOLD_S = 1_800.0
-# With so many ends a request is held, and not sent again in the same try.
+_MAX_HOLD_S = 1_800.0
+# From this number of crashes on a request is held and is not sent again within
+# the same try.
 HOLD_MIN_ENDS = min(_HOLDS_S)
-# From so many on it is the cause where others were open too.
+# From this number of crashes on a request counts as the cause of a crash at
+# which other requests were open too.
 CULPRIT_MIN_ENDS = 3
-# A single end, and two, are forgotten after this time, more after an hour.
-_FORGET_FEW_S = 60.0
-_FORGET_S = 3_600.0
-# Others leave a trial to the host that announced it for so long: answers begin
-# within a second or two, and the trial ends well or the target is gone.
+# Suspects with one or two crashes are forgotten after a minute, others after an
+# hour.
+_FEW_CRASHES_KEPT_S = 60.0
+_CRASHES_KEPT_S = 3_600.0
+# How long other hosts leave a trial to the host that announced it. Answers
+# begin within a second or two; by then the trial has succeeded or the target is
+# gone.
 _TRIAL_S = 2.0
-# A request that ended well so lately does not end targets: late word of an end
-# before, or ends beside many copies of it, change nothing.
-_WELL_S = 10.0
-# Word that a target has ended may follow a cut by this time: where something
-# before it still accepts connections, its entry lapses after three heartbeats.
-_CUT_KEPT_S = 5.0
-# What is over is dropped so often: a look at all takes up to a millisecond.
-_EXPIRE_S = 0.5
-_MOST_SUSPECTS = 1_024
-_MOST_WELL = 2_048
+# A request that succeeded within this time is no suspect: late reports of
+# earlier crashes, and crashes beside many copies of the request, are ignored.
+_SUCCESS_KEPT_S = 10.0
+# The report of a crash may follow a lost connection by this time: if something
+# in front of the target still accepts connections, its entry lapses only after
+# three heartbeats.
+_DISCONNECT_KEPT_S = 5.0
+# Interval between removals of expired entries. Checking all of them takes up to
+# a millisecond.
+_EXPIRE_INTERVAL_S = 0.5
+_MAX_SUSPECTS = 1_024
+_MAX_SUCCESSES = 2_048
 
 
 class QuarantineStatus(NamedTuple):
-    """How a request stands.
+    """Number of crashes of a request, and whether it is held.
 
     Attributes:
-        ends: Targets that ended under it, and under nothing likelier.
-        held_s: Seconds until it may be sent; 0 if it may now.
+        ends: Targets that crashed under it, except crashes attributed to
+            another request.
+        held_s: Seconds until it may be sent; 0 if it may be sent now.
     """
 
     ends: int
@@ -71,19 +83,20 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it is to be placed apart from others like it."""
+        """Whether it must be placed apart from other suspects."""
         return self.ends > 0
 
 
 class Suspect(NamedTuple):
-    """A request under which targets ended, as operators see it.
+    """A request under which targets crashed, as shown to operators.
 
     Attributes:
-        digest: What all its tries have in common.
-        ends: Targets that ended under it, and under nothing likelier.
-        ended_with: All targets that ended while it was open.
-        held_s: Seconds for which it is held still.
-        age_s: Seconds since the last end.
+        digest: Identifies the request over all its tries.
+        ends: Targets that crashed under it, except crashes attributed to
+            another request.
+        ended_with: All targets that crashed while it was open.
+        held_s: Seconds for which it is still held.
+        age_s: Seconds since the last crash.
     """
 
     digest: str
@@ -94,163 +107,169 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Record:
-    """What is known of a suspect.
+class _SuspectRecord:
+    """What this host knows of a suspect.
 
     Attributes:
-        ended: Incarnations that ended while it was open.
-        last_at: Seconds, when the last of them did.
-        trial_until: Seconds; somebody tries it until then.
+        crashed: Incarnations that crashed while it was open.
+        last_crash_at: When the last of them crashed, seconds.
+        trial_until: Until when some host tries the request, seconds.
     """
 
-    ended: set[int] = dataclasses.field(default_factory=set)
-    last_at: float = float("-inf")
+    crashed: set[int] = dataclasses.field(default_factory=set)
+    last_crash_at: float = float("-inf")
     trial_until: float = float("-inf")
 
 
 @dataclasses.dataclass(slots=True)
-class _Cut:
-    """Requests whose connections to an incarnation were cut.
+class _Disconnects:
+    """Requests whose connections to an incarnation were lost.
 
     Attributes:
-        at: Seconds, when the last one was.
-        digests: Which.
-        refuted: The target was reached since.
+        last_at: When the last connection was lost, seconds.
+        digests: Digests of the requests.
+        is_reachable: Whether the target was reached since.
     """
 
-    at: float
+    last_at: float
     digests: set[str] = dataclasses.field(default_factory=set)
-    refuted: bool = False
+    is_reachable: bool = False
 
 
 class Quarantine:
-    """What one host knows of requests under which targets ended."""
+    """Tracks the requests under which targets crashed, as this host knows."""
 
     def __init__(self):
-        self._records: dict[str, _Record] = {}
+        self._records: dict[str, _SuspectRecord] = {}
         self._open_on: dict[int, set[str]] = {}
-        self._cuts: dict[int, _Cut] = {}
-        self._well: collections.OrderedDict[str, float] = (
+        self._disconnects: dict[int, _Disconnects] = {}
+        self._successes: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
         self._expire_at = float("-inf")
 
     @property
     def suspect_count(self) -> int:
-        """How many suspects are known."""
+        """Number of known suspects."""
         return len(self._records)
 
     def status_of(self, digest: str, now: float) -> QuarantineStatus:
-        """Returns whether a request may be sent, and how it is placed."""
+        """Returns the crashes of a request and how long it is held."""
         self._expire(now)
         record = self._records.get(digest)
         if record is None:
-            return QuarantineStatus(self._pending(digest))
-        known = self._count(digest)
-        ends = known + self._pending(digest)
-        if known < HOLD_MIN_ENDS:
+            return QuarantineStatus(self._count_unconfirmed(digest))
+        confirmed = self._count_crashes(digest)
+        ends = confirmed + self._count_unconfirmed(digest)
+        if confirmed < HOLD_MIN_ENDS:
             return QuarantineStatus(ends)
-        hold_s = _HOLDS_S.get(known, _LONGEST_HOLD_S)
-        until = max(record.last_at + hold_s, record.trial_until)
-        return QuarantineStatus(ends, max(0.0, until - now))
+        hold_s = _HOLDS_S.get(confirmed, _MAX_HOLD_S)
+        held_until = max(record.last_crash_at + hold_s, record.trial_until)
+        return QuarantineStatus(ends, max(0.0, held_until - now))
 
     def begin_trial(self, digest: str, now: float) -> None:
-        """Notes that some host, this one or another, tries a suspect."""
+        """Records that this host or another one tries a suspect."""
         record = self._records.get(digest)
         if record is not None:
             record.trial_until = now + _TRIAL_S
 
     def has_running_trial(self, digest: str, now: float) -> bool:
-        """Returns whether some host tries a suspect at this moment."""
+        """Returns whether some host is trying a suspect."""
         record = self._records.get(digest)
         return record is not None and now < record.trial_until
 
     def record_disconnect(
         self, digest: str, incarnation: int, now: float
     ) -> None:
-        """Notes a request whose connection to a target was cut.
+        """Records a request whose connection to a target was lost.
 
-        Until it is known whether the target has ended, it counts as an end for
-        this host alone: the next target is not to follow at once.
+        Until it is known whether the target has crashed, this counts as a crash
+        on this host only, so that the request does not crash the next target at
+        once.
         """
         if self.has_succeeded_recently(digest, now):
             return
-        cut = self._cuts.setdefault(incarnation, _Cut(now))
-        cut.at = now
-        cut.digests.add(digest)
+        disconnects = self._disconnects.setdefault(
+            incarnation, _Disconnects(now)
+        )
+        disconnects.last_at = now
+        disconnects.digests.add(digest)
 
     def mark_reachable(self, incarnation: int) -> None:
-        """Notes that a target is there after connections to it were cut."""
-        cut = self._cuts.get(incarnation)
-        if cut is not None:
-            cut.refuted = True
+        """Records that a target was reached after it lost connections."""
+        disconnects = self._disconnects.get(incarnation)
+        if disconnects is not None:
+            disconnects.is_reachable = True
 
     def confirm_end(self, incarnation: int, now: float) -> list[str]:
-        """Notes that a target has ended.
+        """Records that a target has crashed.
 
         Returns:
-            The requests that were open on it, as far as this host sent them.
+            The requests that this host had open on it.
         """
         self._expire(now)
-        cut = self._cuts.pop(incarnation, None)
-        if cut is None:
+        disconnects = self._disconnects.pop(incarnation, None)
+        if disconnects is None:
             return []
         return [
             digest
-            for digest in sorted(cut.digests)
+            for digest in sorted(disconnects.digests)
             if self.record_end(digest, incarnation, now)
         ]
 
     def record_end(
         self, digest: str, incarnation: int, now: float, ago_s: float = 0.0
     ) -> bool:
-        """Notes that a target ended while a request was open on it.
+        """Records that a target crashed while a request was open on it.
 
         Args:
-            digest: The request.
-            incarnation: The target.
-            now: Seconds.
-            ago_s: Seconds since the end.
+            digest: Digest of the request.
+            incarnation: Incarnation of the target.
+            now: Current time, seconds.
+            ago_s: Seconds since the crash.
 
         Returns:
-            Whether it counts: the request has not ended well lately.
+            Whether the crash counts; it does not if the request succeeded
+            recently.
         """
         if self.has_succeeded_recently(digest, now):
             return False
-        record = self._records.setdefault(digest, _Record())
-        if incarnation in record.ended:
+        record = self._records.setdefault(digest, _SuspectRecord())
+        if incarnation in record.crashed:
             return True
-        record.ended.add(incarnation)
-        record.last_at = max(record.last_at, now - ago_s)
+        record.crashed.add(incarnation)
+        record.last_crash_at = max(record.last_crash_at, now - ago_s)
         record.trial_until = float("-inf")
         self._open_on.setdefault(incarnation, set()).add(digest)
         self._drop_oldest()
         return True
 
     def record_success(self, digest: str, now: float) -> bool:
-        """Notes that a request ended well, here or at another host.
+        """Records that a request succeeded, on this host or another one.
 
         Returns:
             Whether it was a suspect.
         """
-        self._well[digest] = now
-        self._well.move_to_end(digest)
-        if len(self._well) > _MOST_WELL:
-            self._well.popitem(last=False)
-        for cut in self._cuts.values():
-            cut.digests.discard(digest)
+        self._successes[digest] = now
+        self._successes.move_to_end(digest)
+        if len(self._successes) > _MAX_SUCCESSES:
+            self._successes.popitem(last=False)
+        for disconnects in self._disconnects.values():
+            disconnects.digests.discard(digest)
         return self.clear(digest)
 
     def has_succeeded_recently(self, digest: str, now: float) -> bool:
-        """Returns whether a request ended well lately."""
-        return now - self._well.get(digest, float("-inf")) < _WELL_S
+        """Returns whether a request succeeded recently."""
+        return (
+            now - self._successes.get(digest, float("-inf")) < _SUCCESS_KEPT_S
+        )
 
     def clear(self, digest: str) -> bool:
-        """Forgets a suspect; returns whether it was one."""
+        """Removes a suspect; returns whether it was one."""
         record = self._records.pop(digest, None)
         if record is None:
             return False
-        for incarnation in record.ended:
+        for incarnation in record.crashed:
             others = self._open_on[incarnation]
             others.discard(digest)
             if not others:
@@ -258,72 +277,74 @@
         return True
 
     def ended_incarnations(self, digest: str) -> frozenset[int]:
-        """Returns the incarnations that ended while a request was open."""
+        """Returns the incarnations that crashed while a request was open."""
         record = self._records.get(digest)
-        return frozenset(record.ended) if record else frozenset()
+        return frozenset(record.crashed) if record else frozenset()
 
     def suspects(self, now: float) -> list[Suspect]:
-        """Returns all suspects, those with most ends first."""
+        """Returns all suspects, those with the most crashes first."""
         self._expire(now)
-        listed = [
+        entries = [
             Suspect(
                 digest,
-                self._count(digest),
-                len(record.ended),
+                self._count_crashes(digest),
+                len(record.crashed),
                 round(self.status_of(digest, now).held_s, 3),
-                round(now - record.last_at, 3),
+                round(now - record.last_crash_at, 3),
             )
             for digest, record in self._records.items()
         ]
-        return sorted(listed, key=lambda each: -each.ends)
+        return sorted(entries, key=lambda each: -each.ends)
 
-    def _count(self, digest: str) -> int:
-        """Returns how many ends nothing likelier explains."""
-        ended = self._records[digest].ended
+    def _count_crashes(self, digest: str) -> int:
+        """Returns the number of crashes not attributed to another request."""
+        crashed = self._records[digest].crashed
         return sum(
-            not self._is_explained(digest, incarnation, len(ended))
-            for incarnation in ended
+            not self._is_explained_by_other(digest, incarnation, len(crashed))
+            for incarnation in crashed
         )
 
-    def _is_explained(self, digest: str, incarnation: int, ends: int) -> bool:
-        """Returns whether an end is that of another request."""
-        least = max(CULPRIT_MIN_ENDS, ends + 1)
+    def _is_explained_by_other(
+        self, digest: str, incarnation: int, ends: int
+    ) -> bool:
+        """Returns whether a crash is attributed to another request."""
+        min_crashes = max(CULPRIT_MIN_ENDS, ends + 1)
         return any(
-            len(self._records[other].ended) >= least
+            len(self._records[other].crashed) >= min_crashes
             for other in self._open_on[incarnation]
             if other != digest
         )
 
-    def _pending(self, digest: str) -> int:
-        """Returns the cuts that may yet prove ends."""
+    def _count_unconfirmed(self, digest: str) -> int:
+        """Returns the disconnects that may still turn out to be crashes."""
         return sum(
-            digest in cut.digests and not cut.refuted
-            for cut in self._cuts.values()
+            digest in disconnects.digests and not disconnects.is_reachable
+            for disconnects in self._disconnects.values()
         )
 
     def _expire(self, now: float) -> None:
         if now < self._expire_at:
             return
-        self._expire_at = now + _EXPIRE_S
-        for incarnation, cut in list(self._cuts.items()):
-            if now - cut.at > _CUT_KEPT_S:
-                del self._cuts[incarnation]
+        self._expire_at = now + _EXPIRE_INTERVAL_S
+        for incarnation, disconnects in list(self._disconnects.items()):
+            if now - disconnects.last_at > _DISCONNECT_KEPT_S:
+                del self._disconnects[incarnation]
         for digest, record in list(self._records.items()):
-            is_few = len(record.ended) < CULPRIT_MIN_ENDS
-            kept_s = _FORGET_FEW_S if is_few else _FORGET_S
-            if now - record.last_at > kept_s:
+            is_few = len(record.crashed) < CULPRIT_MIN_ENDS
+            kept_s = _FEW_CRASHES_KEPT_S if is_few else _CRASHES_KEPT_S
+            if now - record.last_crash_at > kept_s:
                 self.clear(digest)
 
     def _drop_oldest(self) -> None:
-        """Keeps no more suspects than are of use."""
-        if len(self._records) <= _MOST_SUSPECTS:
+        """Above the limit, drops the oldest suspect with the fewest crashes."""
+        if len(self._records) <= _MAX_SUSPECTS:
             return
         self.clear(
             min(
                 self._records,
                 key=lambda each: (
-                    len(self._records[each].ended),
-                    self._records[each].last_at,
+                    len(self._records[each].crashed),
+                    self._records[each].last_crash_at,
                 ),
             )
         )
--- a/tests/state/targets/test_departures.py
+++ b/tests/state/targets/test_departures.py
@@ -1,4 +1,4 @@
-"""Tests of which news on a target's departure counts."""
+"""Tests for the signals that start and end a departure."""
 
 import unittest
 
@@ -10,13 +10,13 @@
         self.departures = departures.Departures()
         self.departures.mark_leaving("t", "i1")
 
-    def test_late_news_of_a_departure_that_ended_is_none(self):
-        """A host that was cut off tells what it knew."""
+    def test_late_signal_of_an_ended_departure_is_ignored(self):
+        """A host that was cut off still sends what it knew."""
         self.assertTrue(self.departures.mark_live("t", "i2"))
         self.assertFalse(self.departures.mark_leaving("t", "i1"))
         self.assertEqual(self.departures.leaving, {})
 
-    def test_live_incarnation_may_leave_in_its_turn(self):
+    def test_live_incarnation_can_leave_later(self):
         self.departures.mark_live("t", "i2")
         self.assertTrue(self.departures.mark_leaving("t", "i2"))
         self.assertEqual(self.departures.leaving, {"t": "i2"})
@@ -31,7 +31,7 @@
         self.assertTrue(self.departures.mark_live("t", "i4"))
         self.assertTrue(self.departures.mark_leaving("t", ""))
 
-    def test_target_configured_again_leaves_again(self):
+    def test_target_configured_again_can_leave_again(self):
         self.departures.mark_live("t", "i2")
         self.departures.forget("t")
         self.assertTrue(self.departures.mark_leaving("t", "i1"))
--- a/tests/state/targets/test_health.py
+++ b/tests/state/targets/test_health.py
@@ -1,11 +1,11 @@
-"""Tests of ejection and retry budgets."""
+"""Tests for circuit breakers."""
 
 import unittest
 
 from hillthread.state.targets import health
 
 
-class BreakerTest(unittest.TestCase):
+class CircuitBreakerTest(unittest.TestCase):
     def test_ejects_probes_and_recovers(self):
         breaker = health.CircuitBreaker(3, 2.0)
         for _ in range(3):
--- a/tests/state/targets/test_quarantine.py
+++ b/tests/state/targets/test_quarantine.py
@@ -1,160 +1,172 @@
-"""Tests of who is to blame when targets end under requests."""
+"""Tests for attributing crashed targets to requests."""
 
 import unittest
 
 from hillthread.state.targets import quarantine
 
-DEADLY = "deadly"
-BESIDE = "beside"
+CULPRIT = "culprit"
+BYSTANDER = "bystander"
 OTHER = "other"
-# Times as a host has them after a day; what is over must not hang on zero.
-T0 = 90_000.0
+# Clock of a host that has run for a day; expiry must not depend on times near
+# zero.
+START_S = 90_000.0
 
 
-def after_ends(*ended, at=T0):
-    """Returns a quarantine after ends: who was open, a second apart."""
-    known = quarantine.Quarantine()
-    for number, digests in enumerate(ended):
+def make_quarantine(*crashed, at=START_S):
+    """Returns a quarantine after crashes, one second apart.
+
+    Args:
+        crashed: Requests that were open at each crash.
+        at: Time of the first crash, seconds.
+    """
+    state = quarantine.Quarantine()
+    for number, digests in enumerate(crashed):
         for digest in digests:
-            known.record_end(digest, number, at + number)
-    return known
+            state.record_end(digest, number, at + number)
+    return state
 
 
 class HoldTest(unittest.TestCase):
-    def test_unknown_request_is_free(self):
-        standing = quarantine.Quarantine().status_of(DEADLY, T0)
-        self.assertEqual(standing, (0, 0.0))
-        self.assertFalse(standing.is_suspect)
-
-    def test_one_end_only_sets_apart(self):
-        standing = after_ends([DEADLY]).status_of(DEADLY, T0)
-        self.assertEqual(standing, (1, 0.0))
-        self.assertTrue(standing.is_suspect)
-
-    def test_same_end_told_again_counts_once(self):
-        known = after_ends([DEADLY])
-        known.record_end(DEADLY, 0, T0 + 0.4)
-        self.assertEqual(known.status_of(DEADLY, T0 + 1.0).ends, 1)
-
-    def test_hold_grows_with_each_end(self):
-        for ends, hold_s in (
+    def test_unknown_request_is_not_held(self):
+        status = quarantine.Quarantine().status_of(CULPRIT, START_S)
+        self.assertEqual(status, (0, 0.0))
+        self.assertFalse(status.is_suspect)
+
+    def test_one_crash_makes_a_suspect_without_a_hold(self):
+        status = make_quarantine([CULPRIT]).status_of(CULPRIT, START_S)
+        self.assertEqual(status, (1, 0.0))
+        self.assertTrue(status.is_suspect)
+
+    def test_repeated_report_of_a_crash_counts_once(self):
+        state = make_quarantine([CULPRIT])
+        state.record_end(CULPRIT, 0, START_S + 0.4)
+        self.assertEqual(state.status_of(CULPRIT, START_S + 1.0).ends, 1)
+
+    def test_hold_grows_with_each_crash(self):
+        for crashes, hold_s in (
             (2, 1.0),
             (3, 1.5),
             (4, 30.0),
             (5, 300.0),
             (6, 1800.0),
         ):
-            with self.subTest(ends=ends):
-                known = after_ends(*[[DEADLY]] * ends)
-                last_at = T0 + ends - 1
-                held_s = known.status_of(DEADLY, last_at).held_s
+            with self.subTest(crashes=crashes):
+                state = make_quarantine(*[[CULPRIT]] * crashes)
+                last_at = START_S + crashes - 1
+                held_s = state.status_of(CULPRIT, last_at).held_s
                 self.assertAlmostEqual(held_s, hold_s)
                 later = last_at + hold_s + 0.01
-                self.assertEqual(known.status_of(DEADLY, later).held_s, 0.0)
-
-    def test_others_leave_a_trial_to_the_one_that_announced_it(self):
-        known = after_ends([DEADLY], [DEADLY])
-        known.begin_trial(DEADLY, T0 + 10.0)
-        self.assertGreater(known.status_of(DEADLY, T0 + 10.1).held_s, 1.0)
-        self.assertEqual(known.status_of(DEADLY, T0 + 12.1).held_s, 0.0)
-
-    def test_trial_is_over_with_the_next_end(self):
-        known = after_ends([DEADLY], [DEADLY])
-        self.assertFalse(known.has_running_trial(DEADLY, T0 + 10.0))
-        known.begin_trial(DEADLY, T0 + 10.0)
-        self.assertTrue(known.has_running_trial(DEADLY, T0 + 10.1))
-        known.record_end(DEADLY, 2, T0 + 10.2)
-        self.assertFalse(known.has_running_trial(DEADLY, T0 + 10.3))
-        self.assertFalse(known.has_running_trial(OTHER, T0 + 10.3))
-
-    def test_suspects_are_forgotten_with_time(self):
-        for ends, kept_s in ((1, 60.0), (2, 60.0), (3, 3600.0)):
-            with self.subTest(ends=ends):
-                known = after_ends(*[[DEADLY]] * ends)
-                last_at = T0 + ends - 1
+                self.assertEqual(state.status_of(CULPRIT, later).held_s, 0.0)
+
+    def test_announced_trial_holds_the_request(self):
+        state = make_quarantine([CULPRIT], [CULPRIT])
+        state.begin_trial(CULPRIT, START_S + 10.0)
+        self.assertGreater(state.status_of(CULPRIT, START_S + 10.1).held_s, 1.0)
+        self.assertEqual(state.status_of(CULPRIT, START_S + 12.1).held_s, 0.0)
+
+    def test_next_crash_finishes_the_trial(self):
+        state = make_quarantine([CULPRIT], [CULPRIT])
+        self.assertFalse(state.has_running_trial(CULPRIT, START_S + 10.0))
+        state.begin_trial(CULPRIT, START_S + 10.0)
+        self.assertTrue(state.has_running_trial(CULPRIT, START_S + 10.1))
+        state.record_end(CULPRIT, 2, START_S + 10.2)
+        self.assertFalse(state.has_running_trial(CULPRIT, START_S + 10.3))
+        self.assertFalse(state.has_running_trial(OTHER, START_S + 10.3))
+
+    def test_suspects_expire(self):
+        for crashes, kept_s in ((1, 60.0), (2, 60.0), (3, 3600.0)):
+            with self.subTest(crashes=crashes):
+                state = make_quarantine(*[[CULPRIT]] * crashes)
+                last_at = START_S + crashes - 1
                 before, after = last_at + kept_s - 1.0, last_at + kept_s + 1.0
-                self.assertEqual(known.status_of(DEADLY, before).ends, ends)
-                self.assertEqual(known.status_of(DEADLY, after).ends, 0)
+                self.assertEqual(state.status_of(CULPRIT, before).ends, crashes)
+                self.assertEqual(state.status_of(CULPRIT, after).ends, 0)
 
-    def test_end_of_long_ago_is_held_for_the_rest_only(self):
-        known = quarantine.Quarantine()
+    def test_hold_counts_from_the_time_of_the_crash(self):
+        state = quarantine.Quarantine()
         for number in range(4):
-            known.record_end(DEADLY, number, T0, ago_s=20.0)
-        self.assertAlmostEqual(known.status_of(DEADLY, T0).held_s, 10.0)
+            state.record_end(CULPRIT, number, START_S, ago_s=20.0)
+        self.assertAlmostEqual(state.status_of(CULPRIT, START_S).held_s, 10.0)
 
-    def test_there_are_no_more_suspects_than_are_of_use(self):
-        known = after_ends([DEADLY], [DEADLY])
+    def test_number_of_suspects_is_limited(self):
+        state = make_quarantine([CULPRIT], [CULPRIT])
         for number in range(2_000):
-            known.record_end(f"one-{number}", 100 + number, T0 + 2.0)
-        suspects = known.suspects(T0 + 3.0)
+            state.record_end(f"one-{number}", 100 + number, START_S + 2.0)
+        suspects = state.suspects(START_S + 3.0)
         self.assertLessEqual(len(suspects), 1_024)
-        self.assertEqual(suspects[0].digest, DEADLY)
-
-
-class BlameTest(unittest.TestCase):
-    def test_one_that_was_there_each_time_explains_the_ends(self):
-        known = after_ends([DEADLY, BESIDE], [DEADLY, BESIDE], [DEADLY])
-        at = T0 + 2.0
-        self.assertEqual(known.status_of(DEADLY, at).ends, 3)
-        self.assertEqual(known.status_of(BESIDE, at), (0, 0.0))
-
-    def test_ends_elsewhere_still_count(self):
-        known = after_ends([DEADLY, BESIDE], [DEADLY], [DEADLY], [BESIDE])
-        self.assertEqual(known.status_of(BESIDE, T0 + 3.0).ends, 1)
-
-    def test_of_two_that_were_there_alike_none_is_acquitted(self):
-        known = after_ends(*[[DEADLY, BESIDE]] * 3)
-        self.assertEqual(known.status_of(DEADLY, T0 + 2.0).ends, 3)
-        self.assertEqual(known.status_of(BESIDE, T0 + 2.0).ends, 3)
-
-    def test_few_ends_explain_nothing(self):
-        known = after_ends([DEADLY, BESIDE], [DEADLY])
-        self.assertEqual(known.status_of(BESIDE, T0 + 1.0).ends, 1)
-
-    def test_good_end_acquits_and_late_word_changes_nothing(self):
-        known = after_ends([BESIDE], [BESIDE])
-        self.assertTrue(known.record_success(BESIDE, T0 + 2.0))
-        self.assertFalse(known.record_end(BESIDE, 5, T0 + 3.0))
-        self.assertEqual(known.status_of(BESIDE, T0 + 3.0).ends, 0)
-        self.assertFalse(known.record_success(BESIDE, T0 + 3.0))
-        self.assertTrue(known.record_end(BESIDE, 6, T0 + 14.0))
-
-    def test_acquitted_one_explains_nothing_any_more(self):
-        known = after_ends([DEADLY, BESIDE], [DEADLY, BESIDE], [DEADLY])
-        known.record_success(DEADLY, T0 + 3.0)
-        self.assertEqual(known.status_of(BESIDE, T0 + 3.0).ends, 2)
-
-
-class CutTest(unittest.TestCase):
-    def test_cut_counts_here_until_the_target_is_reached(self):
-        known = quarantine.Quarantine()
-        known.record_disconnect(DEADLY, 1, T0)
-        self.assertEqual(known.status_of(DEADLY, T0).ends, 1)
-        known.mark_reachable(1)
-        self.assertEqual(known.status_of(DEADLY, T0).ends, 0)
-
-    def test_end_is_told_with_all_that_was_open(self):
-        known = quarantine.Quarantine()
-        for digest in (DEADLY, BESIDE):
-            known.record_disconnect(digest, 1, T0)
-        known.record_disconnect(OTHER, 2, T0)
-        self.assertEqual(known.confirm_end(1, T0), [BESIDE, DEADLY])
-        self.assertEqual(known.confirm_end(1, T0), [])
-        self.assertEqual(known.status_of(DEADLY, T0).ends, 1)
-
-    def test_word_of_a_new_start_confirms_what_a_connection_refuted(self):
-        known = quarantine.Quarantine()
-        known.record_disconnect(DEADLY, 1, T0)
-        known.mark_reachable(1)
-        self.assertEqual(known.confirm_end(1, T0 + 2.0), [DEADLY])
-
-    def test_cut_of_long_ago_has_nothing_to_do_with_an_end(self):
-        known = quarantine.Quarantine()
-        known.record_disconnect(DEADLY, 1, T0)
-        self.assertEqual(known.confirm_end(1, T0 + 6.0), [])
-
-    def test_one_that_ended_well_meanwhile_is_not_named(self):
-        known = quarantine.Quarantine()
-        known.record_disconnect(BESIDE, 1, T0)
-        known.record_success(BESIDE, T0 + 0.1)
-        self.assertEqual(known.confirm_end(1, T0 + 0.2), [])
+        self.assertEqual(suspects[0].digest, CULPRIT)
+
+
+class AttributionTest(unittest.TestCase):
+    def test_request_open_at_every_crash_explains_the_crashes(self):
+        state = make_quarantine(
+            [CULPRIT, BYSTANDER], [CULPRIT, BYSTANDER], [CULPRIT]
+        )
+        at = START_S + 2.0
+        self.assertEqual(state.status_of(CULPRIT, at).ends, 3)
+        self.assertEqual(state.status_of(BYSTANDER, at), (0, 0.0))
+
+    def test_crashes_without_the_culprit_still_count(self):
+        state = make_quarantine(
+            [CULPRIT, BYSTANDER], [CULPRIT], [CULPRIT], [BYSTANDER]
+        )
+        self.assertEqual(state.status_of(BYSTANDER, START_S + 3.0).ends, 1)
+
+    def test_two_requests_with_equal_crashes_stay_suspects(self):
+        state = make_quarantine(*[[CULPRIT, BYSTANDER]] * 3)
+        self.assertEqual(state.status_of(CULPRIT, START_S + 2.0).ends, 3)
+        self.assertEqual(state.status_of(BYSTANDER, START_S + 2.0).ends, 3)
+
+    def test_few_crashes_do_not_explain_crashes_of_others(self):
+        state = make_quarantine([CULPRIT, BYSTANDER], [CULPRIT])
+        self.assertEqual(state.status_of(BYSTANDER, START_S + 1.0).ends, 1)
+
+    def test_success_clears_a_suspect_and_late_reports_are_ignored(self):
+        state = make_quarantine([BYSTANDER], [BYSTANDER])
+        self.assertTrue(state.record_success(BYSTANDER, START_S + 2.0))
+        self.assertFalse(state.record_end(BYSTANDER, 5, START_S + 3.0))
+        self.assertEqual(state.status_of(BYSTANDER, START_S + 3.0).ends, 0)
+        self.assertFalse(state.record_success(BYSTANDER, START_S + 3.0))
+        self.assertTrue(state.record_end(BYSTANDER, 6, START_S + 14.0))
+
+    def test_cleared_request_no_longer_explains_crashes(self):
+        state = make_quarantine(
+            [CULPRIT, BYSTANDER], [CULPRIT, BYSTANDER], [CULPRIT]
+        )
+        state.record_success(CULPRIT, START_S + 3.0)
+        self.assertEqual(state.status_of(BYSTANDER, START_S + 3.0).ends, 2)
+
+
+class DisconnectTest(unittest.TestCase):
+    def test_disconnect_counts_until_the_target_is_reached(self):
+        state = quarantine.Quarantine()
+        state.record_disconnect(CULPRIT, 1, START_S)
+        self.assertEqual(state.status_of(CULPRIT, START_S).ends, 1)
+        state.mark_reachable(1)
+        self.assertEqual(state.status_of(CULPRIT, START_S).ends, 0)
+
+    def test_confirmed_crash_returns_all_open_requests(self):
+        state = quarantine.Quarantine()
+        for digest in (CULPRIT, BYSTANDER):
+            state.record_disconnect(digest, 1, START_S)
+        state.record_disconnect(OTHER, 2, START_S)
+        self.assertEqual(state.confirm_end(1, START_S), [BYSTANDER, CULPRIT])
+        self.assertEqual(state.confirm_end(1, START_S), [])
+        self.assertEqual(state.status_of(CULPRIT, START_S).ends, 1)
+
+    def test_crash_can_be_confirmed_after_the_target_was_reached(self):
+        state = quarantine.Quarantine()
+        state.record_disconnect(CULPRIT, 1, START_S)
+        state.mark_reachable(1)
+        self.assertEqual(state.confirm_end(1, START_S + 2.0), [CULPRIT])
+
+    def test_old_disconnect_is_not_attributed_to_a_crash(self):
+        state = quarantine.Quarantine()
+        state.record_disconnect(CULPRIT, 1, START_S)
+        self.assertEqual(state.confirm_end(1, START_S + 6.0), [])
+
+    def test_request_that_succeeded_meanwhile_is_not_returned(self):
+        state = quarantine.Quarantine()
+        state.record_disconnect(BYSTANDER, 1, START_S)
+        state.record_success(BYSTANDER, START_S + 0.1)
+        self.assertEqual(state.confirm_end(1, START_S + 0.2), [])
--- a/tests/state/targets/test_request_digest.py
+++ b/tests/state/targets/test_request_digest.py
@@ -1,4 +1,4 @@
-"""Tests of the digest that all tries of a request share."""
+"""Tests for the digest that all tries of a request share."""
 
 import unittest
 
@@ -13,7 +13,7 @@
         self.assertEqual(request_digest.request_digest(*REQUEST), first)
         self.assertEqual(len(first), 16)
 
-    def test_each_part_counts_and_parts_do_not_run_together(self):
+    def test_digest_depends_on_each_part_and_on_part_boundaries(self):
         others = [
             ("other", *REQUEST[1:]),
             ("org", b"PUT", *REQUEST[2:]),
@@ -26,7 +26,7 @@
         self.assertEqual(len(digests), len(others))
         self.assertNotIn(request_digest.request_digest(*REQUEST), digests)
 
-    def test_organisation_of_any_length_is_taken(self):
+    def test_organisation_name_may_have_any_length(self):
         long = request_digest.request_digest("x" * 65, *REQUEST[1:])
         longer = request_digest.request_digest("x" * 66, *REQUEST[1:])
         self.assertNotEqual(long, longer)
