--- a/hillthread/state/targets/rollout.py
+++ b/hillthread/state/targets/rollout.py
@@ -1,12 +1,12 @@
-"""Which targets are to load new weights next.
-
-A load takes its target out of service, and too many at once slow each other
-down, so only a share of a pool loads at the same time. What counts towards that
-share is what may be loading: a target whose order was just sent, and one that
-has confirmed it. A target that is lost or leaves orders unanswered counts for a
-moment only, and is tried again later, so that it does not hold up the others.
-While targets are lost fewer load at once, one at least: the pool serves with
-what is left.
+"""Decides which targets load new weights next.
+
+A load takes its target out of service, and too many loads at once slow each
+other down, so only a share of a pool loads at the same time. Every target that
+may be loading counts towards this share: those that were just sent an order and
+those that confirmed it. A target that is lost or leaves orders unanswered
+counts only for a short time and is tried again later, so that it does not block
+the others. While targets are lost, fewer load at once, but at least one,
+because the pool serves with the remaining targets.
 """
 
 from __future__ import annotations
@@ -30,16 +30,17 @@
     "rank_for_rollout",
 ]
 
-# More loads than this share of a pool at once slow each other down: 2 of 5,
-# 18 of 45 and 28 of 70 on the users' sheets.
-_AT_ONCE_SHARE = 0.4
-# A target that was not reached is asked again after this time, which doubles.
-_BACK_OFF_S = 0.3
-_MOST_BACK_OFF_S = 2.4
+# More concurrent loads than this share of a pool slow each other down. It gives
+# the limits that the users state: 2 of 5, 18 of 45 and 28 of 70 targets.
+_CONCURRENT_LOADS_SHARE = 0.4
+# Delay before a target that was not reached is tried again; it doubles with
+# each failure up to the maximum.
+_FIRST_RETRY_S = 0.3
+_MAX_RETRY_S = 2.4
 
 
 class LoadOutcome(enum.StrEnum):
-    """How the load of one target ended."""
+    """Outcome of the load of one target."""
 
     HELD = "held"
     OVERTAKEN = "overtaken"
@@ -56,16 +57,16 @@
 
 
 class LoadStage(enum.StrEnum):
-    """How far a load has come."""
+    """Stage that a load has reached."""
 
     AWAITING_REPORT = "asked"
     ORDERED = "ordered"
     LOADING = "loading"
 
 
-# How long a load counts towards the share, from the begin of its stage. A
-# sound target reports within some ms; a lost one must not keep others waiting.
-_COUNTS_S = {
+# How long a load counts towards the share, from the start of its stage. A
+# healthy target reports within some ms; a lost one must not block others.
+_STAGE_LIMITS_S = {
     LoadStage.AWAITING_REPORT: 0.25,
     LoadStage.ORDERED: 1.0,
     LoadStage.LOADING: 4.0,
@@ -73,35 +74,37 @@
 
 
 class _Load(NamedTuple):
-    """A load under way.
+    """A load in progress.
 
     Attributes:
-        peers: The targets that share the room with it, itself included.
-        stage: How far it has come.
-        since: Seconds, when that stage began.
+        peers: Targets that share the concurrency limit with it, itself
+            included.
+        stage: Stage that it has reached.
+        stage_began_at: When that stage began, seconds.
     """
 
     peers: frozenset[str]
     stage: LoadStage
-    since: float
+    stage_began_at: float
 
 
 class _Setback(NamedTuple):
-    """What came of earlier tries.
+    """Failed tries to load a target.
 
     Attributes:
-        tries: How many failed in a row.
-        until: Seconds; before that, others go first.
-        lost: The target was not reached: it is not tried at all before that.
+        tries: Number of failed tries in a row.
+        deferred_until: Until when other targets go first, seconds.
+        lost: Whether the target was not reached; it is then not tried at all
+            until that time.
     """
 
     tries: int
-    until: float
+    deferred_until: float
     lost: bool
 
 
 class RolloutPlan:
-    """Which loads are under way, and which begin next."""
+    """Tracks the loads in progress and selects the next ones."""
 
     def __init__(self):
         self._loads: dict[str, _Load] = {}
@@ -110,49 +113,53 @@
 
     @property
     def loading(self) -> Collection[str]:
-        """The targets whose loads have begun and not ended."""
+        """Targets whose loads have begun and not ended."""
         return self._loads.keys()
 
     def next_targets(
         self,
         members: Sequence[target_list.ListedTarget],
         model: str,
-        board: weights_lib.WeightsTracker,
+        tracker: weights_lib.WeightsTracker,
         lost: Collection[str],
         now: float,
     ) -> list[target_list.ListedTarget]:
         """Returns the targets whose loads may begin now.
 
-        The oldest weights go first: starts on them are forbidden first.
+        Targets with the oldest weights go first, because starts on these
+        weights are forbidden first.
 
         Args:
             members: All targets of a pool.
-            model: The model whose weights they are to hold.
-            board: Which weights are named and held.
-            lost: Targets that serve nobody, as others have found.
-            now: Seconds.
+            model: Model whose weights the targets are to load.
+            tracker: Announced weights and the weights that targets hold.
+            lost: Targets that are out of service, as requests have shown.
+            now: Current time, seconds.
         """
-        living = self.unreplaced_names(members)
-        room = self._room(living, lost, now)
-        if room <= 0:
+        current = self.unreplaced_names(members)
+        free_slots = self._free_slots(current, lost, now)
+        if free_slots <= 0:
             return []
-        free = [
+        candidates = [
             entry
-            for entry in targets_behind(members, model, board)
-            if entry.target.name in living
+            for entry in targets_behind(members, model, tracker)
+            if entry.target.name in current
             and self._may_begin(entry.target.name, now)
         ]
-        free.sort(key=lambda entry: self._urgency(entry, model, board, now))
-        return free[:room]
+        candidates.sort(
+            key=lambda entry: self._urgency(entry, model, tracker, now)
+        )
+        return candidates[:free_slots]
 
     def unreplaced_names(
         self, members: Sequence[target_list.ListedTarget]
     ) -> frozenset[str]:
-        """Returns the targets but those that another one has replaced.
+        """Returns the targets that no other target has replaced.
 
-        The entry of a lost target outlives it: its replacement answers at the
-        same address, and its load must not count twice. What comes later in the
-        list replaces what comes before, unless it is known to be gone.
+        The entry of a lost target outlives it. Its replacement answers at the
+        same address, and its load must not count twice. Later entries replace
+        earlier ones with the same address, unless the later one is known to be
+        gone.
         """
         by_address = {
             entry.target.address: entry.target.name
@@ -164,33 +171,33 @@
     def begin_load(
         self, target: str, peers: Collection[str], now: float
     ) -> None:
-        """Notes that the load of a target begins: its report is awaited."""
+        """Records that a load begins; the target's report is awaited."""
         self._loads[target] = _Load(
             frozenset(peers), LoadStage.AWAITING_REPORT, now
         )
 
     def reserve_slot(self, target: str, now: float) -> bool:
-        """Returns whether the target may be ordered now.
+        """Reserves a slot for an order; returns whether one was free.
 
-        Others may have begun while its report was awaited.
+        Other loads may have begun while its report was awaited.
         """
         load = self._loads[target]
-        others = self._count(load.peers - {target}, now)
+        others = self._count_loads(load.peers - {target}, now)
         if others >= max_concurrent_loads(len(load.peers)):
             return False
         self.set_stage(target, LoadStage.ORDERED, now)
         return True
 
     def set_stage(self, target: str, stage: LoadStage, now: float) -> None:
-        """Notes how far a load has come."""
+        """Records the stage that a load has reached."""
         load = self._loads[target]
         if load.stage is not stage:
-            self._loads[target] = load._replace(stage=stage, since=now)
+            self._loads[target] = load._replace(stage=stage, stage_began_at=now)
 
-    def end_load(self, target: str, end: LoadOutcome, now: float) -> None:
-        """Notes that a load has ended."""
+    def end_load(self, target: str, outcome: LoadOutcome, now: float) -> None:
+        """Records how a load ended."""
         self._loads.pop(target, None)
-        match end:
+        match outcome:
             case (
                 LoadOutcome.HELD | LoadOutcome.OVERTAKEN | LoadOutcome.RESTARTED
             ):
@@ -199,41 +206,41 @@
                 self._setbacks.pop(target, None)
                 self._gone.add(target)
             case LoadOutcome.NO_REPORT | LoadOutcome.FAILED:
-                self._set_back(target, now, lost=True)
+                self._record_setback(target, now, lost=True)
             case (
                 LoadOutcome.UNANSWERED
                 | LoadOutcome.NOT_TAKEN
                 | LoadOutcome.TOO_LONG
             ):
-                self._set_back(target, now, lost=False)
+                self._record_setback(target, now, lost=False)
             case LoadOutcome.NO_ROOM | LoadOutcome.NO_LEASE:
                 pass
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Forgets what is known of targets that are not listed any more."""
+        """Removes the state of targets that are no longer listed."""
         self._gone &= set(names)
         for target in [name for name in self._setbacks if name not in names]:
             del self._setbacks[target]
 
-    def _room(
+    def _free_slots(
         self, names: Collection[str], lost: Collection[str], now: float
     ) -> int:
         """Returns how many more loads may begin among some targets."""
-        out = sum(name in lost or self._is_lost(name) for name in names)
-        limit = max(1, max_concurrent_loads(len(names)) - out)
-        return limit - self._count(names, now)
+        out_count = sum(name in lost or self._is_lost(name) for name in names)
+        limit = max(1, max_concurrent_loads(len(names)) - out_count)
+        return limit - self._count_loads(names, now)
 
-    def _count(self, names: Collection[str], now: float) -> int:
+    def _count_loads(self, names: Collection[str], now: float) -> int:
         """Returns how many of some targets may be loading."""
         return sum(
-            name in names and self._counts(name, load, now)
+            name in names and self._takes_slot(name, load, now)
             for name, load in self._loads.items()
         )
 
-    def _counts(self, name: str, load: _Load, now: float) -> bool:
+    def _takes_slot(self, name: str, load: _Load, now: float) -> bool:
         if load.stage is LoadStage.AWAITING_REPORT and self._is_lost(name):
             return False
-        return now - load.since < _COUNTS_S[load.stage]
+        return now - load.stage_began_at < _STAGE_LIMITS_S[load.stage]
 
     def _is_lost(self, name: str) -> bool:
         setback = self._setbacks.get(name)
@@ -243,59 +250,63 @@
         if target in self._loads:
             return False
         setback = self._setbacks.get(target)
-        return setback is None or not setback.lost or now >= setback.until
+        return (
+            setback is None or not setback.lost or now >= setback.deferred_until
+        )
 
     def _urgency(
         self,
         entry: target_list.ListedTarget,
         model: str,
-        board: weights_lib.WeightsTracker,
+        tracker: weights_lib.WeightsTracker,
         now: float,
     ) -> tuple[bool, int]:
-        """Returns a key that sorts the most urgent first.
+        """Returns a sort key that puts the most urgent targets first.
 
-        The order among equals is that of the wave, which sorting keeps.
+        Sorting is stable, so equal targets stay in load order.
         """
         target = entry.target.name
         setback = self._setbacks.get(target)
-        waits = setback is not None and now < setback.until
-        return waits, board.held_version(target, model) or 0
+        is_waiting = setback is not None and now < setback.deferred_until
+        return is_waiting, tracker.held_version(target, model) or 0
 
-    def _set_back(self, target: str, now: float, lost: bool) -> None:
+    def _record_setback(self, target: str, now: float, lost: bool) -> None:
         before = self._setbacks.get(target)
         tries = before.tries + 1 if before is not None else 1
-        back_off_s = min(_MOST_BACK_OFF_S, _BACK_OFF_S * 2 ** (tries - 1))
-        self._setbacks[target] = _Setback(tries, now + back_off_s, lost)
+        delay_s = min(_MAX_RETRY_S, _FIRST_RETRY_S * 2 ** (tries - 1))
+        self._setbacks[target] = _Setback(tries, now + delay_s, lost)
 
 
 def max_concurrent_loads(targets: int) -> int:
-    """Returns how many of a pool's targets may load at the same time."""
-    return max(1, math.ceil(targets * _AT_ONCE_SHARE))
+    """Returns how many targets of a pool may load at the same time."""
+    return max(1, math.ceil(targets * _CONCURRENT_LOADS_SHARE))
 
 
 def rank_for_rollout(
     model: str, version: int, names: Collection[str]
 ) -> list[str]:
-    """Returns targets in the order of their loads, the same on all hosts."""
+    """Returns targets in load order, which is the same on all hosts."""
     return placement.rank_by_rendezvous(f"{model}/{version}".encode(), names)
 
 
 def targets_behind(
     entries: Sequence[target_list.ListedTarget],
     model: str,
-    board: weights_lib.WeightsTracker,
+    tracker: weights_lib.WeightsTracker,
 ) -> list[target_list.ListedTarget]:
-    """Returns the targets that hold older weights than named, in order.
+    """Returns the targets with outdated weights, in load order.
 
-    A target of the pool that does not list the model does not serve it.
+    Targets of the pool that do not list the model do not serve it and are left
+    out.
     """
-    named = board.newest.get(model)
-    if named is None:
+    announced = tracker.newest.get(model)
+    if announced is None:
         return []
     behind = {
         entry.target.name: entry
         for entry in entries
-        if model in entry.weights and board.is_behind(entry.target.name, model)
+        if model in entry.weights
+        and tracker.is_behind(entry.target.name, model)
     }
-    order = rank_for_rollout(model, named.version, behind)
+    order = rank_for_rollout(model, announced.version, behind)
     return [behind[name] for name in order]
--- a/hillthread/state/targets/target_list.py
+++ b/hillthread/state/targets/target_list.py
@@ -1,13 +1,13 @@
-"""The targets the platform lists, and how long a missing entry is trusted.
+"""Tracks listed targets and how long a missing entry is trusted.
 
-Entries vanish for two reasons: the target left, or the platform's store was
-away and entries lapsed. After an outage the entries of live targets come back
-within `return_s`; until then a missing one is kept, and its own answers tell
-whether it lives.
+An entry disappears if its target has left or if the platform's store was
+unavailable and the entry lapsed. After an outage the entries of live targets
+come back within `relist_grace_s`. Until then a missing entry is kept, and the
+target's own answers show whether it is alive.
 
-A target may start again under the name it had. The time of its start tells its
-incarnations apart: a later one holds nothing of what the earlier one held, and
-late word of the earlier one changes nothing. An incarnation once seen leaving
+A target may restart under the same name. Its start time distinguishes its
+incarnations: a later one holds nothing of what an earlier one held, and late
+reports about the earlier one are ignored. An incarnation that was seen leaving
 never comes back.
 """
 
@@ -32,7 +32,7 @@
 
 
 class TargetChange(enum.StrEnum):
-    """What a new entry changed."""
+    """How an update changed a target's entry."""
 
     UNCHANGED = "none"
     ADDED = "come"
@@ -44,13 +44,14 @@
 
 
 class ListedTarget(NamedTuple):
-    """One entry of the platform's list.
+    """An entry of the platform's list.
 
     Attributes:
-        target: What it is, and where.
-        leaving: It ends soon and must get no new work.
-        weights: Version of the weights it holds, by model.
-        born_ms: Unix milliseconds of its start; 0 when it does not tell.
+        target: Identity, labels and address of the target.
+        leaving: Whether it ends soon and must get no new work.
+        weights: Version of the weights that it holds, by model.
+        born_ms: Start time, Unix milliseconds; 0 if the target does not report
+            it.
     """
 
     target: objects.Target
@@ -60,14 +61,17 @@
 
 
 class TargetList:
-    """Which targets there are.
+    """Tracks the targets that exist.
 
     Attributes:
-        return_s: Seconds after an outage in which lapsed entries come back.
-        hold_s: Seconds a missing entry is kept at most, also in an outage.
+        relist_grace_s: Seconds after an outage in which lapsed entries come
+            back.
+        max_missing_s: Longest time that a missing entry is kept, also in an
+            outage, seconds.
         entries: All targets that are listed or still trusted, by name.
-        leaving: Names whose incarnation was seen leaving; it stays so.
-        born_ms: The latest start known of each name that told one.
+        leaving: Names whose incarnation was seen leaving; this is final for the
+            incarnation.
+        born_ms: Latest known start time by name, for targets that reported one.
     """
 
     def __init__(self, relist_grace_s: float, max_missing_s: float = _FOREVER):
@@ -77,31 +81,31 @@
         self.leaving: set[str] = set()
         self.born_ms: dict[str, int] = {}
         self._drop_at: dict[str, float] = {}
-        self._members: dict[str, list[ListedTarget]] = {}
-        self._names: dict[int, str] = {}
-        self._away = False
-        self._back_at = -_FOREVER
+        self._pool_members: dict[str, list[ListedTarget]] = {}
+        self._names_by_key: dict[int, str] = {}
+        self._is_store_lost = False
+        self._store_back_at = -_FOREVER
 
     def store_lost(self) -> None:
-        """Notes that the list cannot be read."""
-        self._away = True
+        """Records that the list cannot be read."""
+        self._is_store_lost = True
 
     def store_back(self, now: float) -> None:
-        """Notes that the list can be read again."""
-        if self._away:
-            self._away = False
-            self._back_at = now
+        """Records that the list can be read again."""
+        if self._is_store_lost:
+            self._is_store_lost = False
+            self._store_back_at = now
 
     def store_restored(self, now: float) -> None:
-        """Notes that the list went back to an older copy.
+        """Records that the list reverted to an older copy.
 
-        Entries of live targets that it lacks are written again, as after an
-        outage.
+        Entries of live targets that the copy lacks are written again, as after
+        an outage.
         """
-        self._back_at = now
+        self._store_back_at = now
 
     def put(self, entry: ListedTarget) -> TargetChange:
-        """Takes in an entry and returns what it changed."""
+        """Adds or updates an entry and returns what that changed."""
         name = entry.target.name
         if self.is_earlier_incarnation(name, entry.born_ms):
             return TargetChange.UNCHANGED
@@ -112,7 +116,7 @@
         before = self.entries.get(name)
         self.entries[name] = entry
         if before != entry:
-            self._note_change()
+            self._clear_caches()
         if restarted and before is not None:
             return TargetChange.RESTARTED
         if entry.leaving:
@@ -126,18 +130,18 @@
         return TargetChange.CHANGED
 
     def is_earlier_incarnation(self, name: str, born_ms: int) -> bool:
-        """Returns whether word is of an incarnation before the one known.
+        """Returns whether a message is about an earlier incarnation.
 
-        A target that has told of its start does so in all that it says: word
-        without it is not the target's own.
+        A target that has reported its start time does so in every message; a
+        message without it does not come from the target itself.
         """
         return born_ms < self.born_ms.get(name, 0)
 
     def record_start(self, name: str, born_ms: int) -> bool:
-        """Takes in when a target started.
+        """Records when a target started.
 
         Returns:
-            Whether it has started again since it was last heard of.
+            Whether it has restarted since its last known start.
         """
         known_ms = self.born_ms.get(name, 0)
         if born_ms <= known_ms:
@@ -149,31 +153,31 @@
         entry = self.entries.get(name)
         if entry is not None:
             self.entries[name] = entry._replace(leaving=False, born_ms=born_ms)
-            self._note_change()
+            self._clear_caches()
         return True
 
     def name_of(self, key: int) -> str | None:
         """Returns the listed target with an incarnation key, or None."""
-        if not self._names:
-            self._names = {
+        if not self._names_by_key:
+            self._names_by_key = {
                 incarnation_key(name, entry.born_ms): name
                 for name, entry in self.entries.items()
             }
-        return self._names.get(key)
+        return self._names_by_key.get(key)
 
     def key_of(self, name: str) -> int:
-        """Returns the incarnation key of a target, as it is known here."""
+        """Returns the incarnation key of a target's latest known start."""
         return incarnation_key(name, self.born_ms.get(name, 0))
 
     def withdraw(self, name: str) -> TargetChange:
-        """Drops a target whose entry names none any more."""
+        """Drops a target whose entry no longer names one."""
         if name not in self.entries:
             return TargetChange.UNCHANGED
         self._drop(name)
         return TargetChange.GONE
 
     def remove(self, name: str, now: float) -> TargetChange:
-        """Notes that an entry is missing and returns what that changed."""
+        """Records that an entry is missing and returns what that changed."""
         entry = self.entries.get(name)
         if entry is None:
             return TargetChange.UNCHANGED
@@ -186,21 +190,21 @@
         return TargetChange.MISSING
 
     def expire(self, now: float) -> list[str]:
-        """Drops entries that stayed missing; returns their names."""
+        """Drops entries that stayed missing and returns their names."""
         due = [name for name, at in self._drop_at.items() if now >= at]
         for name in due:
             self._drop(name)
         return due
 
     def is_missing(self, name: str) -> bool:
-        """Returns whether an entry is kept though it is not listed."""
+        """Returns whether an entry is kept although it is not listed."""
         return name in self._drop_at
 
     def mark_leaving(self, name: str) -> bool:
-        """Notes that a target said itself that it leaves.
+        """Records that a target announced its departure itself.
 
         Returns:
-            Whether that is news.
+            Whether that is new.
         """
         if name in self.leaving:
             return False
@@ -208,18 +212,18 @@
         entry = self.entries.get(name)
         if entry is not None:
             self.entries[name] = entry._replace(leaving=True)
-            self._note_change()
+            self._clear_caches()
         return True
 
     def members(self, pool: objects.Pool) -> list[ListedTarget]:
         """Returns the targets of a pool that may get new work.
 
-        One that lists no model cannot serve a pool of models.
+        A target that lists no model cannot serve a pool of models.
         """
-        members = self._members.get(pool.target_selector)
+        members = self._pool_members.get(pool.target_selector)
         if members is None:
             selector = labels.parse_selector(pool.target_selector)
-            members = self._members[pool.target_selector] = [
+            members = self._pool_members[pool.target_selector] = [
                 entry
                 for entry in self.entries.values()
                 if not entry.leaving
@@ -229,19 +233,22 @@
         return members
 
     def _may_have_lapsed(self, now: float) -> bool:
-        return self._away or now - self._back_at <= self.relist_grace_s
+        return (
+            self._is_store_lost
+            or now - self._store_back_at <= self.relist_grace_s
+        )
 
-    def _note_change(self) -> None:
-        """Forgets what was worked out from the entries."""
-        self._members.clear()
-        self._names.clear()
+    def _clear_caches(self) -> None:
+        """Clears the data derived from the entries."""
+        self._pool_members.clear()
+        self._names_by_key.clear()
 
     def _drop(self, name: str) -> None:
         self.entries.pop(name, None)
         self._drop_at.pop(name, None)
-        self._note_change()
+        self._clear_caches()
 
 
 def incarnation_key(name: str, born_ms: int) -> int:
-    """Returns what stands for one start of a target between hosts."""
+    """Returns the key by which hosts identify one start of a target."""
     return zlib.crc32(f"{name}/{born_ms}".encode())
--- a/hillthread/state/targets/weights.py
+++ b/hillthread/state/targets/weights.py
@@ -1,4 +1,4 @@
-"""Weights versions: which are named, and which each target holds."""
+"""Tracks announced weights versions and those that targets hold."""
 
 from __future__ import annotations
 
@@ -7,27 +7,30 @@
 
 __all__ = ["AnnouncedWeights", "WeightsTracker", "WeightsGrace", "WeightsLag"]
 
-# Starts on older weights cost nothing for 1.5 s after newer ones were named
-# (pages); a margin is left for the way of the request.
+# By the platform's documentation starts on older weights cost nothing for 1.5 s
+# after newer weights were announced; the margin covers the request's way to the
+# target.
 _FREE_S = 1.3
-# While the store answers, a read proves something at least so often, seconds.
-_LONGEST_UNPROVEN_S = 3.0
-# From the choice of a target to the start there, beyond what is expected.
+# While the store answers, reads prove the newest version at least this often.
+_MAX_UNPROVEN_S = 3.0
+# Margin for the time from choosing a target to the start there, beyond the
+# expected time.
 _START_MARGIN_S = 1.0
-# An answer that has not begun so long after starts became forbidden is ended;
-# within the margin above.
-_BEGIN_MARGIN_S = 0.7
-# Who learned late was out of reach, and is judged again only 3 s after that
-# (pages); until then old weights may serve while the newer ones are loaded.
-_LATE_S = 1.5
-# The same as a share of the limit, where that is short.
-_LATE_SHARE = 0.25
-# Seconds from naming in which older weights must be gone, unless told.
+# An answer that has not begun this long after starts became forbidden is ended.
+# This lies within the margin above.
+_ANSWER_MARGIN_S = 0.7
+# A host that learned of new weights late was out of reach, and by the
+# platform's documentation it is judged again only 3 s after that. Until then
+# old weights may serve while the newer ones are loaded.
+_LATE_GRACE_S = 1.5
+# The same as a share of the limit, for short limits.
+_LATE_GRACE_SHARE = 0.25
+# Default time after an announcement by which older weights must be out of use.
 _DEFAULT_LIMIT_S = 10.0
 
 
 class WeightsGrace(enum.StrEnum):
-    """How a start on older weights is looked at."""
+    """Whether a start on older weights is allowed and what it costs."""
 
     FREE = "free"
     COSTLY = "costly"
@@ -35,13 +38,14 @@
 
 
 class AnnouncedWeights(NamedTuple):
-    """Weights of a model that were named.
+    """An announced weights version of a model.
 
     Attributes:
-        version: Its number; versions rise.
-        known_at: Seconds, when this host learned of it.
-        not_before: Seconds, when it surely was not named yet; minus infinity
-            for weights that were found when this host started.
+        version: Version number; versions increase.
+        learned_at: When this host learned of the version, seconds.
+        not_before: Latest time at which the version was surely not announced
+            yet, seconds; minus infinity for weights found when this host
+            started.
     """
 
     version: int
@@ -50,14 +54,15 @@
 
 
 class WeightsLag(NamedTuple):
-    """How a target's weights lag behind what was named.
+    """How far the weights of a target lag behind the announced ones.
 
     Attributes:
-        held: The version it holds; None when not known.
-        newer: The first version named after it, whose age decides.
+        held: Version that the target holds; None if unknown.
+        newer: First version announced after it, whose age decides.
         age_s: Seconds since this host learned of that version.
-        grace: How a start there is looked at.
-        start_by: Seconds, when a request sent before must have started.
+        grace: Whether a start there is allowed and what it costs.
+        start_by: Time by which a request sent earlier must have started,
+            seconds.
     """
 
     held: int | None
@@ -67,30 +72,31 @@
     start_by: float
 
 
-class _Key(NamedTuple):
+class _HeldKey(NamedTuple):
     target: str
     model: str
 
 
 class WeightsTracker:
-    """What one host knows of weights.
+    """Tracks announced weights and the versions that targets hold.
 
-    Each version has a time of its own: a target that missed several is judged
-    by the first of them, however many have been named since.
+    Each version has a deadline of its own: a target that missed several
+    versions is judged by the first of them, however many have been announced
+    since.
 
     Attributes:
-        limit_s: So long after newer weights were named nothing may start on
-            older ones.
-        named: The newest weights, by model.
+        limit_s: Seconds after an announcement from which on nothing may start
+            on older weights.
+        newest: The newest announced weights by model.
     """
 
     def __init__(self, limit_s: float = _DEFAULT_LIMIT_S):
         self.limit_s = limit_s
         self.newest: dict[str, AnnouncedWeights] = {}
-        self._series: dict[str, list[AnnouncedWeights]] = {}
-        self._held: dict[_Key, int] = {}
-        self._listed: dict[_Key, int] = {}
-        self._refuted: dict[_Key, set[int]] = {}
+        self._announcements: dict[str, list[AnnouncedWeights]] = {}
+        self._held: dict[_HeldKey, int] = {}
+        self._listed: dict[_HeldKey, int] = {}
+        self._rejected: dict[_HeldKey, set[int]] = {}
 
     def record_announcement(
         self,
@@ -99,108 +105,110 @@
         now: float,
         not_before: float = float("-inf"),
     ) -> bool:
-        """Takes in newly named weights; returns whether they are news.
+        """Records announced weights; returns whether they are new.
 
         Args:
-            model: Whose weights.
-            version: Their number.
-            now: Seconds.
-            not_before: Seconds, up to when it is proven that they were not
-                named yet.
+            model: Model that the weights are for.
+            version: Version number.
+            now: Current time, seconds.
+            not_before: Time up to which the weights are proven not to have been
+                announced, seconds.
         """
         before = self.newest.get(model)
         if before is not None and before.version >= version:
             return False
-        named = AnnouncedWeights(version, now, not_before)
-        self.newest[model] = named
-        self._series[model] = [*self._unexpired(model, now), named]
+        announced = AnnouncedWeights(version, now, not_before)
+        self.newest[model] = announced
+        self._announcements[model] = [*self._unexpired(model, now), announced]
         return True
 
     def _unexpired(self, model: str, now: float) -> list[AnnouncedWeights]:
-        """Returns the versions whose times still differ.
+        """Returns the versions whose deadlines still differ.
 
-        Of those whose time is over the newest stands for all: whatever is
-        older than it is forbidden.
+        Of the versions whose deadline has passed only the newest is kept:
+        anything older than it is forbidden.
         """
-        series = self._series.get(model, [])
-        over = [each for each in series if now >= self._forbidden_at(each)]
-        return over[-1:] + series[len(over) :]
-
-    def _forbidden_at(self, named: AnnouncedWeights) -> float:
-        """Returns from when on nothing may start on weights before these."""
-        proven_at = named.not_before + self.limit_s - _START_MARGIN_S
-        late_s = min(_LATE_S, self.limit_s * _LATE_SHARE)
-        return max(proven_at, named.learned_at + late_s)
+        announcements = self._announcements.get(model, [])
+        expired = [
+            each for each in announcements if now >= self._forbidden_at(each)
+        ]
+        return expired[-1:] + announcements[len(expired) :]
+
+    def _forbidden_at(self, announced: AnnouncedWeights) -> float:
+        """Returns when starts on weights before this version are forbidden."""
+        proven_at = announced.not_before + self.limit_s - _START_MARGIN_S
+        late_grace_s = min(_LATE_GRACE_S, self.limit_s * _LATE_GRACE_SHARE)
+        return max(proven_at, announced.learned_at + late_grace_s)
 
     def update_from_list(self, target: str, model: str, version: int) -> None:
-        """Takes in what the platform lists.
+        """Records a version from the platform's list.
 
-        The list lags behind answers: only a changed entry counts.
+        The list lags behind answers, so only a changed entry counts.
         """
-        key = _Key(target, model)
-        if self._listed.get(key) == version and key not in self._refuted:
+        key = _HeldKey(target, model)
+        if self._listed.get(key) == version and key not in self._rejected:
             return
         self._listed[key] = version
-        self._hold(key, version)
+        self._set_held(key, version)
 
     def update_from_answer(self, target: str, model: str, version: int) -> bool:
-        """Takes in the version that an answer told; returns whether it is news.
+        """Records a version from an answer; returns whether it is new.
 
-        Answers begin at any time, and may tell what was before a load: only a
-        higher version counts. A report, and a refusal, may lower it.
+        Answers begin at any time and may name the version from before a load,
+        so only a higher version counts. Reports and refusals may lower it.
         """
-        key = _Key(target, model)
+        key = _HeldKey(target, model)
         if self._held.get(key, -1) >= version:
             return False
-        self._hold(key, version)
+        self._set_held(key, version)
         return True
 
     def update_from_report(self, target: str, model: str, version: int) -> None:
-        """Takes in the version that a target reports of itself."""
-        self._hold(_Key(target, model), version)
+        """Records the version that a target reports of itself."""
+        self._set_held(_HeldKey(target, model), version)
 
     def forget(self, target: str) -> None:
-        """Forgets a target that is gone."""
-        for told in (self._held, self._listed, self._refuted):
-            for key in [key for key in told if key.target == target]:
-                del told[key]
+        """Removes a target that is gone."""
+        for versions in (self._held, self._listed, self._rejected):
+            for key in [key for key in versions if key.target == target]:
+                del versions[key]
 
     def held_version(self, target: str, model: str) -> int | None:
-        """Returns the version a target holds, or None when not known."""
-        return self._held.get(_Key(target, model))
+        """Returns the version that a target holds, or None if unknown."""
+        return self._held.get(_HeldKey(target, model))
 
     def is_behind(self, target: str, model: str) -> bool:
         """Returns whether a target is not known to hold the newest weights."""
-        named = self.newest.get(model)
-        if named is None:
+        announced = self.newest.get(model)
+        if announced is None:
             return False
         held = self.held_version(target, model)
-        return held is None or held < named.version
+        return held is None or held < announced.version
 
     def lag(
         self, target: str, model: str, starts_at: float
     ) -> WeightsLag | None:
-        """Returns how a target lags behind; None when it does not.
+        """Returns how a target lags behind; None if it does not.
 
         Args:
-            target: Its name.
-            model: Whose weights.
-            starts_at: Seconds, when a request is expected to start there.
+            target: Name of the target.
+            model: Model that the weights are for.
+            starts_at: When a request is expected to start there, seconds.
         """
         if not self.is_behind(target, model):
             return None
         held = self.held_version(target, model)
         first = next(
-            named
-            for named in self._series[model]
-            if held is None or held < named.version
+            announced
+            for announced in self._announcements[model]
+            if held is None or held < announced.version
         )
         return WeightsLag(
             held,
             first.version,
             starts_at - first.learned_at,
             self._grace(first, starts_at),
-            self._forbidden_at(first) + _BEGIN_MARGIN_S,
+            self._forbidden_at(first) + _ANSWER_MARGIN_S,
         )
 
     def lags(self, now: float) -> dict[tuple[str, str], WeightsLag]:
@@ -208,43 +216,45 @@
         lags = {key: self.lag(*key, now) for key in self._listed}
         return {key: lag for key, lag in lags.items() if lag is not None}
 
-    def _grace(self, named: AnnouncedWeights, starts_at: float) -> WeightsGrace:
-        """Returns how starts on weights before these are looked at."""
-        if starts_at >= self._forbidden_at(named):
+    def _grace(
+        self, announced: AnnouncedWeights, starts_at: float
+    ) -> WeightsGrace:
+        """Returns how starts on weights before this version are judged."""
+        if starts_at >= self._forbidden_at(announced):
             return WeightsGrace.FORBIDDEN
-        if named.learned_at - named.not_before > _LONGEST_UNPROVEN_S:
+        if announced.learned_at - announced.not_before > _MAX_UNPROVEN_S:
             return WeightsGrace.COSTLY
-        if starts_at - named.learned_at > _FREE_S:
+        if starts_at - announced.learned_at > _FREE_S:
             return WeightsGrace.COSTLY
         return WeightsGrace.FREE
 
     def reject_version(self, target: str, model: str, version: int) -> bool:
-        """Takes in that a target does not hold the version it was thought to.
+        """Records that a target does not hold the version assumed so far.
 
-        It holds what it listed last if that is older than what it was thought
-        to hold, or else the newest, or one between. What it refuted already is
-        guessed again only when all were.
+        The next guess is the last listed version if it is older than the
+        assumed one, else the newest version or one between. Rejected versions
+        are guessed again only after all versions were rejected.
 
         Returns:
-            Whether another version is guessed now; it is not when the target
-            has told of another one since.
+            Whether another version is guessed now; it is not if the target has
+            reported another version since.
         """
-        key = _Key(target, model)
+        key = _HeldKey(target, model)
         if self._held.get(key) != version:
             return False
-        series = self._series.get(model, [])
-        known = [named.version for named in reversed(series)]
+        announcements = self._announcements.get(model, [])
+        known = [announced.version for announced in reversed(announcements)]
         listed = self._listed.get(key, max(0, version - 1))
         guesses = [min(listed, version), *known, listed]
-        refuted = self._refuted.setdefault(key, set())
-        refuted.add(version)
-        left = [guess for guess in guesses if guess not in refuted]
-        if not left:
-            refuted.clear()
-        self._held[key] = left[0] if left else listed
+        rejected = self._rejected.setdefault(key, set())
+        rejected.add(version)
+        remaining = [guess for guess in guesses if guess not in rejected]
+        if not remaining:
+            rejected.clear()
+        self._held[key] = remaining[0] if remaining else listed
         return True
 
-    def _hold(self, key: _Key, version: int) -> None:
-        """Notes what a target told of its weights."""
+    def _set_held(self, key: _HeldKey, version: int) -> None:
+        """Records the version that a target reported."""
         self._held[key] = version
-        self._refuted.pop(key, None)
+        self._rejected.pop(key, None)
--- a/tests/state/targets/test_rollout.py
+++ b/tests/state/targets/test_rollout.py
@@ -1,4 +1,4 @@
-"""Tests of which targets load new weights next."""
+"""Tests for the choice of targets that load new weights next."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 _NAMES = ("a", "b", "c", "d", "e")  # two of five load at a time
 
 
-def _entry(name, address=""):
+def _make_entry(name, address=""):
     target = objects.Target(
         name=name,
         labels={},
@@ -22,36 +22,36 @@
 
 class MembersTest(unittest.TestCase):
     def test_target_that_does_not_list_the_model_is_not_ordered(self):
-        board = weights.WeightsTracker()
-        board.record_announcement("m", 2, 0.0)
-        other = _entry("other")._replace(weights={"n": 1})
-        behind = rollout.targets_behind([other, _entry("a")], "m", board)
+        tracker = weights.WeightsTracker()
+        tracker.record_announcement("m", 2, 0.0)
+        other = _make_entry("other")._replace(weights={"n": 1})
+        behind = rollout.targets_behind([other, _make_entry("a")], "m", tracker)
         self.assertEqual([entry.target.name for entry in behind], ["a"])
 
 
-class Site:
-    """Five targets with weights 1 while weights 2 are named."""
+class PoolFixture:
+    """Five targets with weights 1 while weights 2 are announced."""
 
     def __init__(self):
-        self.board = weights.WeightsTracker()
-        self.board.record_announcement("m", 2, 0.0)
-        self.entries = [_entry(name) for name in _NAMES]
+        self.tracker = weights.WeightsTracker()
+        self.tracker.record_announcement("m", 2, 0.0)
+        self.entries = [_make_entry(name) for name in _NAMES]
         for name in _NAMES:
-            self.board.update_from_list(name, "m", 1)
+            self.tracker.update_from_list(name, "m", 1)
         self.plan = rollout.RolloutPlan()
         self.lost = set()
 
     @property
-    def wave(self):
-        """All names in the order of their loads."""
+    def load_order(self):
+        """All names in load order."""
         return rollout.rank_for_rollout(
-            "m", self.board.newest["m"].version, _NAMES
+            "m", self.tracker.newest["m"].version, _NAMES
         )
 
     def next_names(self, now):
         """Returns the targets whose loads may begin."""
         entries = self.plan.next_targets(
-            self.entries, "m", self.board, self.lost, now
+            self.entries, "m", self.tracker, self.lost, now
         )
         return [entry.target.name for entry in entries]
 
@@ -62,82 +62,82 @@
             self.plan.begin_load(name, _NAMES, now)
         return names
 
-    def load(self, now):
-        """Begins all loads that may begin; their engines confirm them."""
+    def begin_and_confirm(self, now):
+        """Begins all loads that may begin and has engines confirm them."""
         names = self.begin(now)
         for name in names:
             assert self.plan.reserve_slot(name, now)
             self.plan.set_stage(name, rollout.LoadStage.LOADING, now)
         return names
 
-    def hold(self, name, version, now):
-        """Has a load end well."""
-        self.board.update_from_report(name, "m", version)
+    def finish(self, name, version, now):
+        """Ends a load successfully."""
+        self.tracker.update_from_report(name, "m", version)
         self.plan.end_load(name, rollout.LoadOutcome.HELD, now)
 
 
 class RolloutPlanTest(unittest.TestCase):
     def setUp(self):
-        self.site = Site()
-        self.plan = self.site.plan
-
-    def test_loads_go_in_the_order_of_the_wave_two_at_a_time(self):
-        wave = self.site.wave
-        self.assertEqual(self.site.begin(0.0), wave[:2])
-        self.assertEqual(self.site.begin(0.0), [])
-        self.site.hold(wave[0], 2, 0.1)
-        self.assertEqual(self.site.begin(0.1), [wave[2]])
-        for number, name in enumerate(wave[1:]):
-            self.site.begin(0.2 + number)
-            self.site.hold(name, 2, 0.2 + number)
-        self.assertEqual(self.site.begin(9.0), [])
+        self.pool = PoolFixture()
+        self.plan = self.pool.plan
+
+    def test_two_targets_load_at_a_time_in_load_order(self):
+        load_order = self.pool.load_order
+        self.assertEqual(self.pool.begin(0.0), load_order[:2])
+        self.assertEqual(self.pool.begin(0.0), [])
+        self.pool.finish(load_order[0], 2, 0.1)
+        self.assertEqual(self.pool.begin(0.1), [load_order[2]])
+        for number, name in enumerate(load_order[1:]):
+            self.pool.begin(0.2 + number)
+            self.pool.finish(name, 2, 0.2 + number)
+        self.assertEqual(self.pool.begin(9.0), [])
         self.assertEqual(list(self.plan.loading), [])
 
-    def test_load_that_an_engine_confirmed_keeps_its_place(self):
-        for name in self.site.begin(0.0):
+    def test_confirmed_load_keeps_its_slot(self):
+        for name in self.pool.begin(0.0):
             self.assertTrue(self.plan.reserve_slot(name, 0.1))
             self.plan.set_stage(name, rollout.LoadStage.LOADING, 0.2)
-        self.assertEqual(self.site.next_names(3.5), [])
-
-    def test_silent_target_keeps_its_place_for_a_moment_only(self):
-        wave = self.site.wave
-        self.site.begin(0.0)
-        self.assertEqual(self.site.next_names(0.2), [])
-        self.assertEqual(self.site.next_names(0.3), wave[2:4])
-
-    def test_late_report_finds_its_place_taken(self):
-        late, other, third, fourth, _ = self.site.wave
-        self.site.begin(0.0)
-        self.site.begin(0.3)
+        self.assertEqual(self.pool.next_names(3.5), [])
+
+    def test_silent_target_soon_frees_its_slot(self):
+        load_order = self.pool.load_order
+        self.pool.begin(0.0)
+        self.assertEqual(self.pool.next_names(0.2), [])
+        self.assertEqual(self.pool.next_names(0.3), load_order[2:4])
+
+    def test_late_report_finds_no_free_slot(self):
+        late, other, third, fourth, _ = self.pool.load_order
+        self.pool.begin(0.0)
+        self.pool.begin(0.3)
         for name in (third, fourth):
             self.assertTrue(self.plan.reserve_slot(name, 0.4))
             self.plan.set_stage(name, rollout.LoadStage.LOADING, 0.4)
         self.assertFalse(self.plan.reserve_slot(late, 0.5))
         self.plan.end_load(late, rollout.LoadOutcome.NO_ROOM, 0.5)
-        self.site.hold(third, 2, 1.5)
-        self.assertEqual(self.site.next_names(1.5), [late])
+        self.pool.finish(third, 2, 1.5)
+        self.assertEqual(self.pool.next_names(1.5), [late])
         self.assertTrue(self.plan.reserve_slot(other, 1.5))
 
-    def test_unanswered_order_keeps_its_place_until_a_report_tells(self):
-        first, *_ = self.site.begin(0.0)
+    def test_unanswered_order_keeps_its_slot_until_a_report_is_due(self):
+        first, *_ = self.pool.begin(0.0)
         self.assertTrue(self.plan.reserve_slot(first, 0.0))
-        self.assertEqual(len(self.site.next_names(0.9)), 1)
-        self.assertEqual(len(self.site.next_names(1.1)), 2)
+        self.assertEqual(len(self.pool.next_names(0.9)), 1)
+        self.assertEqual(len(self.pool.next_names(1.1)), 2)
 
-    def test_lost_target_is_tried_again_ever_more_rarely(self):
-        lost, other, third, *_ = self.site.wave
-        self.site.load(0.0)
+    def test_lost_target_is_retried_with_growing_delays(self):
+        lost, other, third, *_ = self.pool.load_order
+        self.pool.begin_and_confirm(0.0)
         self.plan.end_load(lost, rollout.LoadOutcome.NO_REPORT, 0.0)
-        self.site.hold(other, 2, 0.1)
-        self.assertEqual(self.site.next_names(0.1), [third])
-        self.assertEqual(self.site.next_names(0.31)[0], lost)
+        self.pool.finish(other, 2, 0.1)
+        self.assertEqual(self.pool.next_names(0.1), [third])
+        self.assertEqual(self.pool.next_names(0.31)[0], lost)
         gaps_s = []
         now = 0.31
         for _ in range(6):
             self.plan.begin_load(lost, _NAMES, now)
             self.plan.end_load(lost, rollout.LoadOutcome.NO_REPORT, now)
             failed_at = now
-            while lost not in self.site.next_names(now):
+            while lost not in self.pool.next_names(now):
                 now += 0.01
             gaps_s.append(round(now - failed_at, 3))
         self.assertEqual(gaps_s, sorted(gaps_s))
@@ -145,101 +145,101 @@
         self.assertGreater(gaps_s[-1], 2.0)
         self.assertLess(gaps_s[-1], 2.5)
 
-    def test_fewer_load_while_targets_serve_nobody(self):
-        lost, *rest = self.site.wave
-        self.site.lost = {lost}
+    def test_fewer_targets_load_while_some_are_lost(self):
+        lost, *rest = self.pool.load_order
+        self.pool.lost = {lost}
         self.plan.begin_load(lost, _NAMES, 0.0)
         self.plan.end_load(lost, rollout.LoadOutcome.NO_REPORT, 0.0)
-        self.assertEqual(self.site.load(0.1), rest[:1])
-        self.assertEqual(self.site.load(0.2), [])
-        self.site.hold(rest[0], 2, 1.0)
-        self.assertEqual(len(self.site.next_names(1.0)), 1)
-        self.site.lost = set()
+        self.assertEqual(self.pool.begin_and_confirm(0.1), rest[:1])
+        self.assertEqual(self.pool.begin_and_confirm(0.2), [])
+        self.pool.finish(rest[0], 2, 1.0)
+        self.assertEqual(len(self.pool.next_names(1.0)), 1)
+        self.pool.lost = set()
         self.plan.begin_load(lost, _NAMES, 1.0)
         self.plan.end_load(lost, rollout.LoadOutcome.OVERTAKEN, 1.0)
-        self.assertEqual(len(self.site.next_names(1.0)), 2)
+        self.assertEqual(len(self.pool.next_names(1.0)), 2)
 
-    def test_one_loads_however_many_are_lost(self):
-        *lost, last = self.site.wave
-        self.site.lost = set(lost)
+    def test_one_target_loads_however_many_are_lost(self):
+        *lost, last = self.pool.load_order
+        self.pool.lost = set(lost)
         for name in lost:
             self.plan.begin_load(name, _NAMES, 0.0)
             self.plan.end_load(name, rollout.LoadOutcome.NO_REPORT, 0.0)
-        self.assertEqual(self.site.load(0.1), [last])
+        self.assertEqual(self.pool.begin_and_confirm(0.1), [last])
 
-    def test_lost_target_asked_again_takes_no_place(self):
-        lost, second, third, *_ = self.site.wave
+    def test_retry_of_a_lost_target_takes_no_slot(self):
+        lost, second, third, *_ = self.pool.load_order
         self.plan.begin_load(lost, _NAMES, 0.0)
         self.plan.end_load(lost, rollout.LoadOutcome.NO_REPORT, 0.0)
-        self.assertEqual(self.site.begin(0.4), [lost])
-        self.assertEqual(self.site.load(0.4), [second])
-        self.site.hold(second, 2, 1.0)
-        self.assertEqual(self.site.next_names(1.0), [third])
-
-    def test_unanswered_target_goes_behind_the_others_for_a_while(self):
-        silent, other, *rest = self.site.wave
-        self.site.load(0.0)
+        self.assertEqual(self.pool.begin(0.4), [lost])
+        self.assertEqual(self.pool.begin_and_confirm(0.4), [second])
+        self.pool.finish(second, 2, 1.0)
+        self.assertEqual(self.pool.next_names(1.0), [third])
+
+    def test_unanswered_target_is_deferred_for_a_while(self):
+        silent, other, *rest = self.pool.load_order
+        self.pool.begin_and_confirm(0.0)
         self.plan.end_load(silent, rollout.LoadOutcome.UNANSWERED, 0.7)
-        self.assertEqual(self.site.next_names(0.7), [rest[0]])
+        self.assertEqual(self.pool.next_names(0.7), [rest[0]])
         for name in (other, *rest):
-            self.site.hold(name, 2, 0.8)
-        # Nobody else is to be ordered: there is nothing to wait for.
-        self.assertEqual(self.site.next_names(0.8), [silent])
+            self.pool.finish(name, 2, 0.8)
+        # No other target is left, so there is nothing to wait for.
+        self.assertEqual(self.pool.next_names(0.8), [silent])
 
     def test_unanswered_target_with_the_oldest_weights_comes_back(self):
-        silent, *others = self.site.wave
-        self.site.begin(0.0)
+        silent, *others = self.pool.load_order
+        self.pool.begin(0.0)
         self.plan.end_load(silent, rollout.LoadOutcome.UNANSWERED, 0.7)
-        self.site.board.record_announcement("m", 3, 1.0)
+        self.pool.tracker.record_announcement("m", 3, 1.0)
         for name in others:
-            self.site.hold(name, 2, 1.0)
-        self.assertEqual(self.site.next_names(1.1)[0], silent)
+            self.pool.finish(name, 2, 1.0)
+        self.assertEqual(self.pool.next_names(1.1)[0], silent)
 
     def test_oldest_weights_go_first(self):
-        self.site.board.record_announcement("m", 9, 0.0)
+        self.pool.tracker.record_announcement("m", 9, 0.0)
         versions = {"a": 5, "b": 3, "c": 8, "d": 4, "e": 9}
         for name, version in versions.items():
-            self.site.board.update_from_report(name, "m", version)
-        self.assertEqual(self.site.load(0.0), ["b", "d"])
-        self.site.hold("b", 9, 1.0)
-        self.assertEqual(self.site.load(1.0), ["a"])
+            self.pool.tracker.update_from_report(name, "m", version)
+        self.assertEqual(self.pool.begin_and_confirm(0.0), ["b", "d"])
+        self.pool.finish("b", 9, 1.0)
+        self.assertEqual(self.pool.begin_and_confirm(1.0), ["a"])
 
-    def test_another_incarnation_ends_it_until_the_entry_is_gone(self):
-        gone, *_ = self.site.begin(0.0)
+    def test_replaced_incarnation_is_not_loaded_until_its_entry_is_gone(self):
+        gone, *_ = self.pool.begin(0.0)
         self.plan.end_load(gone, rollout.LoadOutcome.OTHER_INCARNATION, 0.1)
         for now in (0.1, 5.0, 100.0):
-            self.assertNotIn(gone, self.site.next_names(now))
+            self.assertNotIn(gone, self.pool.next_names(now))
         self.plan.keep_only([name for name in _NAMES if name != gone])
-        self.assertIn(gone, self.site.next_names(100.0))
+        self.assertIn(gone, self.pool.next_names(100.0))
 
-    def test_replaced_target_is_not_asked_for_its_successor(self):
-        old = self.site.wave[0]
-        address = self.site.entries[_NAMES.index(old)].target.address
-        self.site.entries.append(_entry("successor", address))
-        self.site.board.update_from_list("successor", "m", 1)
+    def test_replaced_target_is_not_loaded_beside_its_successor(self):
+        old = self.pool.load_order[0]
+        address = self.pool.entries[_NAMES.index(old)].target.address
+        self.pool.entries.append(_make_entry("successor", address))
+        self.pool.tracker.update_from_list("successor", "m", 1)
         names = [*_NAMES, "successor"]
-        wave = rollout.rank_for_rollout("m", 2, names)
-        wave.remove(old)
-        self.assertEqual(self.site.next_names(0.0), wave[:2])
-        # Lists may be read in any order: the other one is the successor.
+        load_order = rollout.rank_for_rollout("m", 2, names)
+        load_order.remove(old)
+        self.assertEqual(self.pool.next_names(0.0), load_order[:2])
+        # Lists may be read in any order: the other target is the successor.
         self.plan.begin_load("successor", names, 0.0)
         end = rollout.LoadOutcome.OTHER_INCARNATION
         self.plan.end_load("successor", end, 0.0)
-        self.assertIn(old, self.site.next_names(0.0))
-        self.assertNotIn("successor", self.site.next_names(0.0))
+        self.assertIn(old, self.pool.next_names(0.0))
+        self.assertNotIn("successor", self.pool.next_names(0.0))
 
-    def test_success_ends_the_back_off(self):
-        name, *_ = self.site.wave
+    def test_success_ends_the_retry_delay(self):
+        name, *_ = self.pool.load_order
         for now in (0.0, 1.0, 2.0):
             self.plan.begin_load(name, _NAMES, now)
             self.plan.end_load(name, rollout.LoadOutcome.NO_REPORT, now)
-        self.assertNotIn(name, self.site.next_names(3.0))
+        self.assertNotIn(name, self.pool.next_names(3.0))
         self.plan.begin_load(name, _NAMES, 3.5)
         self.plan.end_load(name, rollout.LoadOutcome.OVERTAKEN, 3.5)
-        self.assertIn(name, self.site.next_names(3.5))
+        self.assertIn(name, self.pool.next_names(3.5))
 
-    def test_never_more_loads_than_planned_whatever_ends(self):
-        """At each moment at most two orders are out or being carried out."""
+    def test_concurrent_loads_stay_within_the_limit(self):
+        """At most two orders are sent or carried out at any time."""
         ends = [
             rollout.LoadOutcome.NO_REPORT,
             rollout.LoadOutcome.UNANSWERED,
@@ -249,7 +249,7 @@
         ordered = set()
         for step in range(2000):
             now = step * 0.05
-            self.site.begin(now)
+            self.pool.begin(now)
             for number, name in enumerate(sorted(self.plan.loading)):
                 if (step * 7 + number * 3) % 5 == 0:
                     end = ends[(step + number) % len(ends)]
--- a/tests/state/targets/test_target_list.py
+++ b/tests/state/targets/test_target_list.py
@@ -1,4 +1,4 @@
-"""Tests of the list of targets over departures and outages."""
+"""Tests for the list of targets across departures and outages."""
 
 import unittest
 
@@ -24,15 +24,15 @@
 
 
 class TargetListTest(unittest.TestCase):
-    def names(self, targets):
+    def member_names(self, targets):
         return {each.target.name for each in targets.members(POOL)}
 
-    def test_missing_entry_is_gone_at_once_in_quiet_times(self):
+    def test_missing_entry_is_dropped_at_once_without_an_outage(self):
         targets = target_list.TargetList(2.0, 1.2)
         targets.put(make_entry("a"))
         change = targets.remove("a", 10.0)
         self.assertEqual(change, target_list.TargetChange.GONE)
-        self.assertEqual(self.names(targets), set())
+        self.assertEqual(self.member_names(targets), set())
 
     def test_entry_that_lapsed_in_an_outage_may_come_back(self):
         targets = target_list.TargetList(2.0, 1.2)
@@ -42,22 +42,22 @@
         targets.store_back(10.0)
         for name in "ab":
             targets.remove(name, 10.1)
-        self.assertEqual(self.names(targets), {"a", "b"})
+        self.assertEqual(self.member_names(targets), {"a", "b"})
         targets.put(make_entry("a"))
         self.assertEqual(targets.expire(11.4), ["b"])
-        self.assertEqual(self.names(targets), {"a"})
+        self.assertEqual(self.member_names(targets), {"a"})
         self.assertEqual(targets.expire(99.0), [])
 
-    def test_one_that_left_and_started_again_is_used(self):
+    def test_target_that_left_is_used_after_a_restart(self):
         targets = target_list.TargetList(2.0, 1.2)
         targets.put(make_entry("a", born_ms=1_000))
         targets.put(make_entry("a", leaving=True, born_ms=1_000))
-        self.assertEqual(self.names(targets), set())
+        self.assertEqual(self.member_names(targets), set())
         change = targets.put(make_entry("a", born_ms=2_000))
         self.assertEqual(change, target_list.TargetChange.RESTARTED)
-        self.assertEqual(self.names(targets), {"a"})
+        self.assertEqual(self.member_names(targets), {"a"})
 
-    def test_late_word_of_an_earlier_start_changes_nothing(self):
+    def test_late_report_of_an_earlier_start_is_ignored(self):
         targets = target_list.TargetList(2.0, 1.2)
         targets.put(make_entry("a", born_ms=2_000))
         for late in (
@@ -68,23 +68,23 @@
             change = targets.put(late)
             self.assertEqual(change, target_list.TargetChange.UNCHANGED)
             self.assertEqual(targets.entries["a"].born_ms, 2_000)
-        self.assertEqual(self.names(targets), {"a"})
+        self.assertEqual(self.member_names(targets), {"a"})
 
-    def test_start_that_a_report_tells_ends_the_departure(self):
+    def test_reported_restart_ends_the_departure(self):
         targets = target_list.TargetList(2.0, 1.2)
         targets.put(make_entry("a", leaving=True, born_ms=1_000))
         self.assertFalse(targets.record_start("a", 1_000))
         self.assertTrue(targets.record_start("a", 2_000))
-        self.assertEqual(self.names(targets), {"a"})
+        self.assertEqual(self.member_names(targets), {"a"})
         targets.put(make_entry("a", leaving=True, born_ms=1_000))
-        self.assertEqual(self.names(targets), {"a"})
+        self.assertEqual(self.member_names(targets), {"a"})
 
     def test_departure_of_the_same_start_is_final(self):
         targets = target_list.TargetList(2.0, 1.2)
         targets.put(make_entry("a", leaving=True, born_ms=1_000))
         targets.remove("a", 5.0)
         targets.put(make_entry("a", born_ms=1_000))
-        self.assertEqual(self.names(targets), set())
+        self.assertEqual(self.member_names(targets), set())
 
     def test_engine_that_lists_no_model_is_not_used(self):
         targets = target_list.TargetList(2.0, 1.2)
@@ -104,7 +104,7 @@
         strategies.lists(
             strategies.tuples(
                 strategies.sampled_from(
-                    ["ready", "leaving", "remove", "lost", "back", "said"]
+                    ["ready", "leaving", "remove", "lost", "back", "announced"]
                 ),
                 strategies.floats(0.0, 1.5),
             ),
@@ -114,7 +114,7 @@
     def test_target_seen_leaving_never_gets_work_again(self, steps):
         targets = target_list.TargetList(2.0, 1.2)
         now = 0.0
-        left = False
+        has_left = False
         for step, pause in steps:
             now += pause
             match step:
@@ -122,16 +122,16 @@
                     targets.put(make_entry("a"))
                 case "leaving":
                     targets.put(make_entry("a", leaving=True))
-                    left = True
+                    has_left = True
                 case "remove":
                     targets.remove("a", now)
                 case "lost":
                     targets.store_lost()
                 case "back":
                     targets.store_back(now)
-                case "said":
+                case "announced":
                     targets.mark_leaving("a")
-                    left = True
+                    has_left = True
             targets.expire(now)
-            if left:
-                self.assertEqual(self.names(targets), set())
+            if has_left:
+                self.assertEqual(self.member_names(targets), set())
