--- a/hillthread/coordination/gateway/orders/__init__.py
+++ b/hillthread/coordination/gateway/orders/__init__.py
@@ -1,1 +1,1 @@
-"""The orders that one gateway gives to engines for all."""
+"""Orders to engines, given by one gateway on behalf of all."""
--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -1,4 +1,4 @@
-"""Which host gives orders: whether this one does, and when it steps in."""
+"""Decides whether this host gives orders and when it takes over."""
 
 from __future__ import annotations
 
@@ -12,22 +12,24 @@
 
 __all__ = ["OrderLeadership"]
 
-_DUTY = "orders"
-# Hosts of lower rank do not read the lease after a rollout.
-_LOOKING_HOSTS = 8
-_LOOK_AFTER_S = 1.0
-# A holder that orders tells of loads that begin or end so often at least.
-_SILENCE_S = 1.2
+_ROLE = "orders"
+# Hosts that rank below this number do not read the lease after a rollout.
+_READING_HOSTS = 8
+# Delay from the start, or the end of a rollout, until the lease is read.
+_READ_DELAY_S = 1.0
+# A holder that gives orders notifies others of loads that begin or end at least
+# this often.
+_MAX_NOTICE_GAP_S = 1.2
 _NEVER = float("inf")
 
 
 class OrderLeadership:
-    """This host's part in the duty of giving orders.
+    """Acquires and gives up the leadership for orders on this host.
 
     Attributes:
-        site: The host's beliefs.
-        lease: On giving orders.
-        hosts: All hosts: those that rank first for orders step in first.
+        site: The state of this host.
+        lease: The lease on giving orders.
+        hosts: All hosts; those that rank first for orders take over first.
     """
 
     def __init__(
@@ -39,24 +41,26 @@
         self.site = site
         self.lease = lease
         self.hosts = hosts
-        self._needed = False
+        self._is_needed = False
         self._try_at = -_NEVER
         self._resigned_until = -_NEVER
-        self._look_at = clock.now() + _LOOK_AFTER_S
+        self._read_lease_at = clock.now() + _READ_DELAY_S
 
     async def try_acquire(self, now: float) -> bool:
-        """Takes the duty if it is this host's turn; called while it is needed.
+        """Acquires the leadership if it is this host's turn.
+
+        It is called as long as there is something to order.
 
         Returns:
             Whether this host may give orders now.
         """
-        if not self._needed:
-            self._needed = True
+        if not self._is_needed:
+            self._is_needed = True
             first_at = succession.compute_first_try_at(
                 self._standing(), now, random.random()
             )
             self._try_at = max(self._resigned_until, first_at)
-        if now < self._try_at or self._is_done_elsewhere(now):
+        if now < self._try_at or self._is_active_elsewhere(now):
             return False
         if await self.acquire_or_renew():
             return True
@@ -65,23 +69,25 @@
         )
         return False
 
-    def _is_done_elsewhere(self, now: float) -> bool:
-        """Returns whether another host is heard to give orders.
+    def _is_active_elsewhere(self, now: float) -> bool:
+        """Returns whether another host is known to give orders.
 
-        It tells which engines load, and shows by it that it holds the lease:
-        to read that costs a call of each host. Those that would follow it read
-        on: how long the lease lasts counts from when its last record was read.
+        Its notices of loading engines show that it holds the lease, while
+        reading the lease costs one call on each host. Hosts that would succeed
+        it still read the lease, because its duration counts from when its last
+        record was read.
         """
-        rank = self.hosts.get_duty_rank(_DUTY)
+        rank = self.hosts.get_duty_rank(_ROLE)
         if self.lease.is_holder or rank < succession.WATCHING_HOST_COUNT:
             return False
-        return now - self.site.load_told_at < _SILENCE_S
+        return now - self.site.load_told_at < _MAX_NOTICE_GAP_S
 
     async def acquire_or_renew(self) -> bool:
-        """Returns whether orders may be given now; renews the lease if due.
+        """Acquires or renews the lease if due; returns whether to give orders.
 
-        A host that is about to end begins none; a holder goes on until then,
-        since another one would have to wait for its lease.
+        A host that is about to stop does not acquire the lease. A holder keeps
+        it until it stops, since another host would have to wait until the lease
+        expires.
         """
         if self.site.closing or clock.now() < self._resigned_until:
             return False
@@ -90,9 +96,10 @@
         return await self.lease.acquire_or_renew()
 
     def step_down(self, reason: str) -> None:
-        """Stops giving orders: an engine has seen a newer holder.
+        """Stops giving orders after an engine has seen a newer holder.
 
-        Until that one's lease can be over, this host does not ask for it.
+        This host does not contend again until that holder's lease may have
+        expired.
         """
         self.lease.step_down(reason)
         ttl_s = self.lease.contender.ttl_s
@@ -100,29 +107,29 @@
         self._try_at = max(self._try_at, self._resigned_until)
 
     async def mark_idle(self, now: float) -> None:
-        """Notes that there is nothing to order, and looks at the lease once.
+        """Records that there is nothing to order, and reads the lease once.
 
-        That is soon after the start and after each rollout: who knows since
-        when a holder has been silent can follow it without a wait when the next
-        weights are named.
+        The lease is read soon after the start and after each rollout. A host
+        that knows since when a holder has been silent can succeed it without a
+        wait when the next weights are announced.
 
         Raises:
             LogError: The store cannot be read.
         """
-        if self._needed:
-            self._needed = False
-            self._look_at = now + _LOOK_AFTER_S
-        if now < self._look_at:
+        if self._is_needed:
+            self._is_needed = False
+            self._read_lease_at = now + _READ_DELAY_S
+        if now < self._read_lease_at:
             return
-        self._look_at = now + _LOOK_AFTER_S  # again if it cannot be read
-        looks = self.hosts.get_duty_rank(_DUTY) < _LOOKING_HOSTS
-        if looks and not self.lease.is_holder:
+        self._read_lease_at = now + _READ_DELAY_S  # repeated if the read fails
+        is_reader = self.hosts.get_duty_rank(_ROLE) < _READING_HOSTS
+        if is_reader and not self.lease.is_holder:
             await self.lease.catch_up()
-        self._look_at = _NEVER
+        self._read_lease_at = _NEVER
 
     def _standing(self) -> succession.LeaseStanding:
         return succession.LeaseStanding(
-            self.hosts.get_duty_rank(_DUTY),
+            self.hosts.get_duty_rank(_ROLE),
             self.lease.is_holder,
             self.lease.has_holder,
             self.lease.contender.contend_at,
--- a/hillthread/coordination/gateway/orders/order_lease.py
+++ b/hillthread/coordination/gateway/orders/order_lease.py
@@ -1,8 +1,8 @@
-"""The lease on giving orders, as records of a topic in the store.
+"""Lease on giving orders, kept as records of a topic in the store.
 
-It is taken only when there is something to order, so that a quiet day costs
-no calls. Every append names the end of the topic that its author has read, so
-a record in the topic followed from all before it.
+The lease is acquired only when there is something to order, so that idle times
+cost no calls. Every append names the end of the topic that its author has read,
+so each record in the topic takes all earlier records into account.
 """
 
 from __future__ import annotations
@@ -21,23 +21,25 @@
 __all__ = ["OrderLease"]
 
 LEASE_TOPIC = "order-lease"
-# Time after an append for which a holder acts; it renews while it works.
+# How long a holder may act after an append; it renews the lease while it works.
 _ACT_S = 2.0
 _MARGIN_S = 0.3
-# After a call has failed; each has its price, and a renewal begins in time.
+# Delay after a failed call: each call has a price, and a renewal begins early
+# enough to be retried.
 _RETRY_S = 0.3
-# Of a fencing number, those that hold the offset; the era stands above them.
+# Number of bits of a fencing token that hold the offset; the bits above hold
+# the era.
 _OFFSET_BITS = 32
 
 _logger = logging.getLogger("hillthread.lease")
 
 
 class OrderLease:
-    """This host's part in the lease.
+    """This host's handle on the lease.
 
     Attributes:
         store: The platform's store.
-        contender: When this host may act, and when contend.
+        contender: Decides when this host may act and when it may contend.
     """
 
     def __init__(
@@ -47,13 +49,13 @@
         pause_s: float,
         clock: Callable[[], float] = clock.now,
     ):
-        """Makes the lease.
+        """Initializes the lease.
 
         Args:
             store: The platform's store.
-            name: This host's name.
+            name: Name of this host.
             pause_s: Least time between the orders of two holders.
-            clock: Returns the steady time, seconds.
+            clock: Returns the monotonic time, seconds.
         """
         self.store = store
         self._clock = clock
@@ -64,39 +66,39 @@
             ordered=True,
             handover_pause_s=pause_s + _MARGIN_S,
         )
-        self._turn = anyio.Lock()
+        self._lock = anyio.Lock()
         self._retry_at = float("-inf")
 
     @property
     def fencing_token(self) -> int:
-        """The fencing number of the holder; it rises over restorations too."""
+        """Fencing token of the holder; it also increases over restorations."""
         state = self.contender.state
         return ((state.era or 0) << _OFFSET_BITS) + state.fencing
 
     @property
     def is_holder(self) -> bool:
-        """Whether this host was the last holder, as far as it has read."""
+        """Whether this host was the last holder, by the records it has read."""
         return self.contender.state.holder == self.contender.name
 
     @property
     def has_holder(self) -> bool:
-        """Whether anybody is known to have held it."""
+        """Whether any host is known to have held the lease."""
         return self.contender.state.holder != lease.NO_HOLDER
 
     def may_act(self) -> bool:
-        """Returns whether this host may give orders; ask before each."""
+        """Returns whether this host may give orders; check before each one."""
         return self.contender.may_act(self._clock())
 
     async def acquire_or_renew(self) -> bool:
-        """Takes or renews the lease if that is due.
+        """Acquires or renews the lease if that is due.
 
         Returns:
             Whether this host may give orders now.
         """
-        async with self._turn:  # several loads ask at the same time
-            return await self._ensure()
+        async with self._lock:  # several loads call this at the same time
+            return await self._acquire_or_renew_locked()
 
-    async def _ensure(self) -> bool:
+    async def _acquire_or_renew_locked(self) -> bool:
         now = self._clock()
         if self.contender.may_act(now) and not self.contender.should_renew(now):
             return True
@@ -111,7 +113,7 @@
         except errors.HillthreadError as error:
             self._retry_at = self._clock() + _RETRY_S
             _logger.warning(
-                "lease not taken",
+                "lease not acquired",
                 extra={"event": "lease_failed", "reason": error.message},
             )
         return self.may_act()
@@ -126,10 +128,12 @@
         if state.era != self.store.era:
             self.contender.set_era(self.store.era)
         try:
-            page = await self.store.read(LEASE_TOPIC, self._next(), 0.0)
+            page = await self.store.read(
+                LEASE_TOPIC, self._next_position(), 0.0
+            )
         except store_lib.TruncatedError as error:
             _logger.warning(
-                "records of the lease are gone",
+                "lease records were truncated",
                 extra={
                     "event": "lease_gap",
                     "read_to": state.position,
@@ -138,7 +142,9 @@
                 },
             )
             self.contender.restart_at(error.first)
-            page = await self.store.read(LEASE_TOPIC, self._next(), 0.0)
+            page = await self.store.read(
+                LEASE_TOPIC, self._next_position(), 0.0
+            )
         now = self._clock()
         before = state.holder
         for record in page.records:
@@ -147,7 +153,7 @@
         self.contender.note_caught_up(now)
         if state.holder != before:
             _logger.info(
-                "lease has a holder",
+                "lease holder changed",
                 extra={
                     "event": "lease_seen",
                     "holder": state.holder,
@@ -156,12 +162,12 @@
             )
 
     def store_restored(self, era: int) -> None:
-        """Stops acting, since the store may have lost this acquisition."""
+        """Stops acting, because the store may have lost this acquisition."""
         now = self._clock()
         was_holder = self.may_act()
         self.contender.start_era(era, now)
         _logger.warning(
-            "lease lost with the store's era",
+            "lease dropped after the store was restored",
             extra={
                 "event": "lease_restored",
                 "era": era,
@@ -170,13 +176,13 @@
             },
         )
 
-    def _next(self) -> position_lib.Position:
+    def _next_position(self) -> position_lib.Position:
         """Returns the position of the next record."""
         state = self.contender.state
         return position_lib.Position(state.era or 0, state.position + 1)
 
     def step_down(self, reason: str) -> None:
-        """Stops acting, because an engine has seen a newer holder."""
+        """Stops acting after an engine has seen a newer holder."""
         self.contender.resign()
         _logger.warning(
             "lease given up",
@@ -184,25 +190,25 @@
         )
 
     async def release(self) -> None:
-        """Gives the lease back at a planned stop, if this host holds it."""
-        async with self._turn:  # an acquisition may be under way
-            await self._release()
+        """Releases the lease at a planned stop, if this host holds it."""
+        async with self._lock:  # an acquisition may be in progress
+            await self._release_locked()
 
-    async def _release(self) -> None:
+    async def _release_locked(self) -> None:
         if not self.is_holder:
             return
         state = self.contender.state
         record = lease.Release(
             holder=self.contender.name, fencing=state.fencing, era=state.era
         )
-        end = self._next()
+        end = self._next_position()
         self.contender.resign()
         try:
             await self.store.append(
                 LEASE_TOPIC, lease.encode_lease(record), end
             )
         except errors.HillthreadError as error:
-            # Others then wait until the lease has lapsed.
+            # Other hosts then wait until the lease has expired.
             _logger.warning(
                 "lease not released",
                 extra={"event": "lease_failed", "reason": error.message},
@@ -215,16 +221,16 @@
         payload = lease.encode_lease(self.contender.begin_append(now))
         try:
             position = await self.store.append(
-                LEASE_TOPIC, payload, self._next()
+                LEASE_TOPIC, payload, self._next_position()
             )
         except (errors.ConflictError, errors.UnknownOutcomeError):
-            # Somebody else was first, or the answer was lost; the topic shows.
+            # Another host was first, or the answer was lost; read the topic.
             await self.catch_up()
             return
         was_holder = self.is_holder
         self.contender.read(position.offset, payload, self._clock())
         if not was_holder:
             _logger.info(
-                "lease taken",
+                "lease acquired",
                 extra={"event": "lease_taken", "fencing": self.fencing_token},
             )
--- a/tests/coordination/gateway/orders/test_order_lease.py
+++ b/tests/coordination/gateway/orders/test_order_lease.py
@@ -1,4 +1,4 @@
-"""Tests of this host's part in the lease on orders."""
+"""Tests for the lease on giving orders."""
 
 import unittest
 
@@ -13,16 +13,16 @@
 from hillthread.state.cluster import position as position_lib
 
 _PAUSE_S = 0.1
-# A lease is contended so long after its last record was read.
-_LAPSE_S = 2.5
-_KEPT_S = 1.0
+# A host contends for a lease this long after its last record was read.
+_EXPIRY_S = 2.5
+_RETENTION_S = 1.0
 
 
 class Clock:
-    """A steady clock that the test advances.
+    """A monotonic clock that the test advances.
 
     Attributes:
-        now: Seconds.
+        now: Current time, seconds.
     """
 
     def __init__(self):
@@ -36,24 +36,24 @@
     """A topic in memory.
 
     Attributes:
-        era: Restorations so far.
-        refuses: Whether it refuses all calls.
-        calls: Calls taken, refused ones included.
+        era: Number of restorations.
+        is_refusing: Whether the store refuses all calls.
+        calls: Number of calls, refused ones included.
     """
 
     def __init__(self):
         self.records = []
         self.era = 0
-        self.refuses = False
+        self.is_refusing = False
         self.calls = 0
 
     def _take_call(self):
         self.calls += 1
-        if self.refuses:
+        if self.is_refusing:
             raise errors.LogError("The store refuses.", "Ask it later.")
 
     async def append(self, topic, payload, end):
-        """Appends a record if the topic ends there."""
+        """Appends a record if the topic ends at the given position."""
         self._take_call()
         if end != self._end():
             raise errors.ConflictError("It ends elsewhere.", "Read it.")
@@ -75,43 +75,43 @@
 
 
 class OrderLeaseTest(unittest.TestCase):
-    def test_refused_renewal_is_not_tried_again_at_once(self):
-        """Each call has its price, and several loads ask at the same time."""
+    def test_refused_renewal_is_not_retried_at_once(self):
+        """Each call has a price, and several loads call at the same time."""
 
-        async def story():
+        async def scenario():
             store = Store()
             clock = Clock()
             lease = order_lease.OrderLease(store, "h1", 0.1, clock)
             self.assertTrue(await lease.acquire_or_renew())
             clock.now += lease.contender.act_s * 0.6
-            store.refuses = True
+            store.is_refusing = True
             store.calls = 0
             for _ in range(20):
                 self.assertTrue(await lease.acquire_or_renew())
             self.assertEqual(store.calls, 1)
-            store.refuses = False
+            store.is_refusing = False
             clock.now += 0.4
             self.assertTrue(await lease.acquire_or_renew())
             self.assertEqual(len(store.records), 2)
 
-        anyio.run(story)
+        anyio.run(scenario)
 
-    def test_lease_that_ran_out_in_an_outage_is_not_acted_on(self):
-        async def story():
+    def test_lease_that_expired_in_an_outage_is_not_used(self):
+        async def scenario():
             store = Store()
             clock = Clock()
             lease = order_lease.OrderLease(store, "h1", 0.1, clock)
             self.assertTrue(await lease.acquire_or_renew())
-            store.refuses = True
+            store.is_refusing = True
             clock.now += lease.contender.act_s + 0.05
             for _ in range(20):
                 self.assertFalse(await lease.acquire_or_renew())
             self.assertLessEqual(store.calls, 4)
 
-        anyio.run(story)
+        anyio.run(scenario)
 
 
-class ForgottenRecordsTest(unittest.TestCase):
+class TruncatedTopicTest(unittest.TestCase):
     def test_former_holder_does_not_act_beside_its_successor(self):
         async def run():
             store = platform_store.PlatformStoreStandin()
@@ -121,11 +121,11 @@
                 successor = self.lease(store, "h1")
                 self.assertTrue(await former.acquire_or_renew())
                 await successor.catch_up()
-                await anyio.sleep(_LAPSE_S)
+                await anyio.sleep(_EXPIRY_S)
                 self.assertTrue(await successor.acquire_or_renew())
-                await anyio.sleep(_KEPT_S)
+                await anyio.sleep(_RETENTION_S)
                 self.assertTrue(await successor.acquire_or_renew())  # a renewal
-                store.drop_history(_KEPT_S)  # the acquisitions are gone
+                store.drop_history(_RETENTION_S)  # drops the acquisitions
                 for _ in range(3):
                     self.assertFalse(await former.acquire_or_renew())
                     self.assertFalse(former.may_act())
@@ -134,7 +134,7 @@
 
         anyio.run(run)
 
-    def test_host_that_found_no_records_takes_note_of_the_next_holder(self):
+    def test_host_that_found_no_records_respects_the_next_holder(self):
         async def run():
             store = platform_store.PlatformStoreStandin()
             async with anyio.create_task_group() as tasks:
@@ -144,9 +144,9 @@
                 new = self.lease(store, "h2")
                 self.assertTrue(await former.acquire_or_renew())
                 await knowing.catch_up()
-                await anyio.sleep(_LAPSE_S)
-                store.drop_history(_KEPT_S)
-                await new.catch_up()  # nothing is there to be read
+                await anyio.sleep(_EXPIRY_S)
+                store.drop_history(_RETENTION_S)
+                await new.catch_up()  # there are no records to read
                 self.assertTrue(await knowing.acquire_or_renew())
                 self.assertFalse(await new.acquire_or_renew())
                 self.assertFalse(new.may_act())
@@ -161,7 +161,7 @@
 
 
 class RestoredStoreTest(unittest.IsolatedAsyncioTestCase):
-    """The store comes back from a copy that lacks records of the lease."""
+    """The store is restored from a copy that lacks lease records."""
 
     async def asyncSetUp(self):
         self.store = Store()
@@ -173,24 +173,24 @@
         return order_lease.OrderLease(self.store, name, _PAUSE_S, self.clock)
 
     def restore(self, kept, *leases):
-        """Restores the store with its first records, as hosts learn of it."""
+        """Restores the store with its first records and notifies hosts."""
         del self.store.records[kept:]
         self.store.era += 1
         for lease in leases:
             lease.store_restored(self.store.era)
 
-    # Guards against two holders: one of whom the copy knows nothing.
-    async def test_nobody_contends_while_a_lost_acquisition_may_hold(self):
+    # Guards against two holders, one of which the copy does not contain.
+    async def test_no_host_contends_while_a_lost_acquisition_may_be_valid(self):
         self.assertTrue(await self.first.acquire_or_renew())
         self.restore(0, self.second)
         self.assertFalse(await self.second.acquire_or_renew())
-        self.clock.now += _LAPSE_S - 0.2
+        self.clock.now += _EXPIRY_S - 0.2
         self.assertFalse(await self.second.acquire_or_renew())
         self.clock.now += 0.4
         self.assertFalse(self.first.may_act())
         self.assertTrue(await self.second.acquire_or_renew())
 
-    async def test_wait_for_a_lost_acquisition_follows_the_bound(self):
+    async def test_wait_for_a_lost_acquisition_follows_the_pause(self):
         for pause_s in (1.5, 3.0, 6.0):
             with self.subTest(pause_s=pause_s):
                 self.store = Store()
@@ -218,28 +218,28 @@
         self.assertTrue(await self.first.acquire_or_renew())
         self.assertGreater(self.first.fencing_token, before)
 
-    async def test_holder_whose_time_is_over_waits_as_others_do(self):
+    async def test_holder_with_an_expired_lease_waits_like_others(self):
         self.assertTrue(await self.first.acquire_or_renew())
-        self.clock.now += _LAPSE_S
+        self.clock.now += _EXPIRY_S
         self.restore(0, self.first)
         self.assertFalse(await self.first.acquire_or_renew())
 
-    # Guards against engines that refuse orders, or obey two holders: offsets
-    # are given out again.
-    async def test_fencing_number_rises_over_restorations(self):
+    # Guards against engines that refuse orders or obey two holders, because
+    # offsets are reused after a restoration.
+    async def test_fencing_token_increases_over_restorations(self):
         for _ in range(5):
             self.assertTrue(await self.first.acquire_or_renew())
-            self.clock.now += _KEPT_S * 1.5
+            self.clock.now += _RETENTION_S * 1.5
         numbers = [self.first.fencing_token]
         for kept in (1, 0):
             self.restore(kept, self.first, self.second)
-            self.clock.now += _LAPSE_S
+            self.clock.now += _EXPIRY_S
             self.assertTrue(await self.second.acquire_or_renew())
             numbers.append(self.second.fencing_token)
         self.assertEqual(numbers, sorted(set(numbers)))
 
-    # Guards against an append that the store does after its restoration.
-    async def test_append_of_the_former_era_does_not_count(self):
+    # Guards against an append that the store executes after its restoration.
+    async def test_append_of_an_earlier_era_is_ignored(self):
         late = lease_state.encode_lease(
             lease_state.Acquire(holder="h3", after=-1, era=1)
         )
@@ -250,26 +250,25 @@
         await self.first.catch_up()
         self.assertFalse(self.first.has_holder)
 
-    async def test_process_that_starts_after_the_restoration_waits(self):
+    async def test_process_started_after_a_restoration_waits(self):
         self.store.era = 1
         self.assertTrue(await self.first.acquire_or_renew())
         await self.first.release()
         self.restore(2)
         third = self.lease("h3")
         self.assertFalse(await third.acquire_or_renew())
-        self.clock.now += _LAPSE_S
+        self.clock.now += _EXPIRY_S
         self.assertTrue(await third.acquire_or_renew())
 
 
 class ReleaseTest(unittest.TestCase):
-    def test_pause_between_the_orders_of_two_holders_is_kept(self):
+    def test_pause_between_orders_of_two_holders_is_kept(self):
         async def run():
             store = Store()
             former = order_lease.OrderLease(store, "h0", 30.0)
             successor = order_lease.OrderLease(store, "h1", 30.0)
-            self.assertTrue(
-                await former.acquire_or_renew()
-            )  # it may order until now
+            # It may give orders until now.
+            self.assertTrue(await former.acquire_or_renew())
             await former.release()
             self.assertFalse(await successor.acquire_or_renew())
 
