--- a/hillthread/coordination/gateway/orders/rollout_keeper.py
+++ b/hillthread/coordination/gateway/orders/rollout_keeper.py
@@ -1,4 +1,4 @@
-"""Moves all targets to newly named weights while this host has the duty."""
+"""Moves all targets to announced weights while this host gives orders."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 __all__ = ["RolloutController"]
 
-_TICK_S = 0.1
-# Without anything to order; newly named weights end the pause.
-_IDLE_TICK_S = 1.0
+_ACTIVE_INTERVAL_S = 0.1
+# Interval while there is nothing to order; announced weights end it early.
+_IDLE_INTERVAL_S = 1.0
 
 _logger = logging.getLogger("hillthread.orders")
 
 
-class _Wave(NamedTuple):
-    """Targets that share the room for loads.
+class _PoolRollout(NamedTuple):
+    """A model's rollout on the targets of a pool, which share the load limit.
 
     Attributes:
-        model: Whose weights they are to hold.
-        members: All targets of a pool.
+        model: Model whose weights the targets are to hold.
+        members: All targets of the pool.
     """
 
     model: str
@@ -44,13 +44,13 @@
 
 
 class RolloutController:
-    """Begins loads while this host has the duty of giving orders.
+    """Begins loads while this host gives orders.
 
     Attributes:
-        site: The host's beliefs.
-        duty: Whether this host gives orders.
-        plan: Which loads are under way, and which come next.
-        loader: Moves single targets.
+        site: The state of this host.
+        leadership: Decides whether this host gives orders.
+        plan: Tracks the loads in progress and selects the next ones.
+        loader: Loads weights on single targets.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self.loader = weights_load.WeightsLoader(
             site, self.leadership, pool, self.plan, work
         )
-        self._behind = False
+        self._has_targets_behind = False
         self._load_ended = anyio.Event()
 
     @property
@@ -79,68 +79,79 @@
 
     @property
     def loading(self) -> Collection[str]:
-        """Targets that this host is moving."""
+        """Targets on which this host is loading weights."""
         return self.plan.loading
 
     async def run(self) -> None:
-        """Watches for targets with old weights until cancelled."""
+        """Loads weights on targets that hold old ones, until cancelled."""
         while True:
-            await self._pause()
+            await self._wait()
             try:
-                await self._turn(clock.now())
+                await self._run_once(clock.now())
             except errors.HillthreadError as error:
                 _logger.warning(
-                    "orders held up",
+                    "orders delayed",
                     extra={"event": "orders_held_up", "reason": str(error)},
                 )
             self.metrics.holds_lease.set(self.lease.may_act())
 
-    async def _pause(self) -> None:
-        if self._behind or self.loading:
-            with anyio.move_on_after(_TICK_S):
+    async def _wait(self) -> None:
+        if self._has_targets_behind or self.loading:
+            with anyio.move_on_after(_ACTIVE_INTERVAL_S):
                 await self._load_ended.wait()
             return
-        with anyio.move_on_after(_IDLE_TICK_S):
+        with anyio.move_on_after(_IDLE_INTERVAL_S):
             await self.site.weights_named.wait()
 
-    async def _turn(self, now: float) -> None:
+    async def _run_once(self, now: float) -> None:
         self._load_ended = anyio.Event()
         self.plan.keep_only(self.site.targets.entries)
-        waves = self._waves()
-        self._behind = bool(waves)
-        if not waves:
+        pool_rollouts = self._pool_rollouts()
+        self._has_targets_behind = bool(pool_rollouts)
+        if not pool_rollouts:
             if not self.loading:
                 await self.leadership.mark_idle(now)
             return
-        if not any(self._next(wave, now) for wave in waves):
+        if not any(
+            self._next_targets(pool_rollout, now)
+            for pool_rollout in pool_rollouts
+        ):
             return
         if not await self.leadership.try_acquire(now):
             return
         now = clock.now()
-        for wave in waves:
-            self._begin(wave, now)
+        for pool_rollout in pool_rollouts:
+            self._begin_loads(pool_rollout, now)
 
-    def _waves(self) -> list[_Wave]:
+    def _pool_rollouts(self) -> list[_PoolRollout]:
         """Returns the pools in which targets hold old weights."""
         table = self.site.table
         if table is None:
             return []
-        board = self.site.weights
-        waves = [
-            _Wave(model, self.site.targets.members(pool))
-            for model in board.newest
+        tracker = self.site.weights
+        pool_rollouts = [
+            _PoolRollout(model, self.site.targets.members(pool))
+            for model in tracker.newest
             for pool in table.pools_serving(model)
         ]
         return [
-            wave
-            for wave in waves
-            if rollout.targets_behind(wave.members, wave.model, board)
+            pool_rollout
+            for pool_rollout in pool_rollouts
+            if rollout.targets_behind(
+                pool_rollout.members, pool_rollout.model, tracker
+            )
         ]
 
-    def _next(self, wave: _Wave, now: float) -> list[target_list.ListedTarget]:
+    def _next_targets(
+        self, pool_rollout: _PoolRollout, now: float
+    ) -> list[target_list.ListedTarget]:
         lost = self._out_of_service(now)
         return self.plan.next_targets(
-            wave.members, wave.model, self.site.weights, lost, now
+            pool_rollout.members,
+            pool_rollout.model,
+            self.site.weights,
+            lost,
+            now,
         )
 
     def _out_of_service(self, now: float) -> set[str]:
@@ -152,12 +163,12 @@
             or state.breaker.state(now) is health.BreakerState.OPEN
         }
 
-    def _begin(self, wave: _Wave, now: float) -> None:
-        """Begins the loads for which there is room."""
-        peers = self.plan.unreplaced_names(wave.members)
-        for entry in self._next(wave, now):
+    def _begin_loads(self, pool_rollout: _PoolRollout, now: float) -> None:
+        """Begins as many loads as the plan allows."""
+        peers = self.plan.unreplaced_names(pool_rollout.members)
+        for entry in self._next_targets(pool_rollout, now):
             self.plan.begin_load(entry.target.name, peers, now)
-            self.tasks.start_soon(self._load, entry.target, wave.model)
+            self.tasks.start_soon(self._load, entry.target, pool_rollout.model)
 
     async def _load(self, target: objects.Target, model: str) -> None:
         await self.loader.load(target, model)
--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -1,4 +1,8 @@
-"""Moves one target to the newest weights: its report, an order, the load."""
+"""Loads the newest weights on one target.
+
+The target's report is read first, then it is sent an order, then its reports
+are polled until the load has ended.
+"""
 
 from __future__ import annotations
 
@@ -23,47 +27,50 @@
 __all__ = ["WeightsLoader"]
 
 STRATEGY = "retain"
-_POLL_S = 0.2
-# A load takes about a second.
-_LOAD_LIMIT_S = 4.0
-# A report tells how an engine stood some hundred ms before. So long after an
-# order it tells whether the engine took it, though it did not answer.
-_SETTLED_S = 0.7
-# From telling all hosts that an engine is about to load until its order: the
-# notice has reached them, and most of what waits there has begun. Engines
-# refuse what has not: 107 of 1,833 prompts on a day with four versions, each of
-# them sent once more. At 0.2 s engines rested, and other queues grew longer.
-_EMPTY_QUEUE_S = 0.06
+_POLL_INTERVAL_S = 0.2
+# Time limit of a load, which takes about a second.
+_MAX_LOAD_S = 4.0
+# Reports lag an engine's state by some hundred ms. This long after an order the
+# report shows whether the engine accepted it, even if the engine did not
+# answer.
+_REPORT_LAG_S = 0.7
+# Time from notifying all hosts that an engine is about to load until its order.
+# In this time the notice reaches the hosts, and most requests that wait on the
+# engine begin. The engine refuses those that have not begun, 107 of 1,833
+# prompts on a day with four versions, and each of them is sent once more. At
+# 0.2 s engines were idle, and other queues grew longer.
+_NOTICE_LEAD_S = 0.06
 
 _logger = logging.getLogger("hillthread.orders")
 
 
-class _Given(NamedTuple):
-    """An order that was given.
+class _SentOrder(NamedTuple):
+    """An order that was sent.
 
     Attributes:
-        version: The weights to load.
-        orders_taken: The engine's count before.
-        at: Seconds, when it was sent.
-        answer: What the engine said.
-        born_ms: When the engine that got it started.
+        version: Version of the weights to load.
+        orders_taken: The engine's count of orders before this one.
+        sent_at: When the order was sent, seconds.
+        answer: The engine's answer.
+        born_ms: Start time of the engine that received the order, Unix
+            milliseconds.
     """
 
     version: int
     orders_taken: int
-    at: float
+    sent_at: float
     answer: orders.OrderAnswer
     born_ms: int
 
 
 class WeightsLoader:
-    """Moves single targets; each load ends with a line and a reason.
+    """Loads weights on single targets and logs each load's outcome.
 
     Attributes:
-        site: The host's beliefs.
-        duty: Whether this host gives orders.
-        plan: Which loads are under way.
-        work: Tells other hosts which engines load.
+        site: The state of this host.
+        leadership: Decides whether this host gives orders.
+        plan: Tracks the loads in progress.
+        work: Notifies other hosts of loading engines.
     """
 
     def __init__(
@@ -82,41 +89,41 @@
         self.metrics = site.metrics
 
     async def load(self, target: objects.Target, model: str) -> None:
-        """Moves a target whose load the plan has begun, and ends the load."""
+        """Runs a load that the plan has begun, and ends it in the plan."""
         started = clock.now()
-        end = rollout.LoadOutcome.TOO_LONG
+        outcome = rollout.LoadOutcome.TOO_LONG
         reason = ""
         try:
-            with anyio.move_on_after(_LOAD_LIMIT_S):
-                end = await self._move(target, model)
+            with anyio.move_on_after(_MAX_LOAD_S):
+                outcome = await self._load(target, model)
         except errors.HillthreadError as error:
-            end = rollout.LoadOutcome.FAILED
+            outcome = rollout.LoadOutcome.FAILED
             reason = str(error)
         finally:
-            self.plan.end_load(target.name, end, clock.now())
-        self.metrics.loads.labels(end).inc()
+            self.plan.end_load(target.name, outcome, clock.now())
+        self.metrics.loads.labels(outcome).inc()
         _logger.info(
             "load ended",
             extra={
                 "event": "load_ended",
                 "target": target.name,
                 "model": model,
-                "version": self._newest(model),
+                "version": self._newest_version(model),
                 "held": self.site.weights.held_version(target.name, model),
-                "outcome": end,
+                "outcome": outcome,
                 "reason": reason,
                 "seconds": round(clock.now() - started, 3),
             },
         )
 
-    async def _move(
+    async def _load(
         self, target: objects.Target, model: str
     ) -> rollout.LoadOutcome:
-        report = await self._ask(target, model)
+        report = await self._read_report(target, model)
         if report is None:
-            return self._unreported(target)
+            return self._outcome_without_report(target)
         if report.busy:
-            return await self._watch(
+            return await self._await_load(
                 target, model, report.orders - 1, report.born_ms
             )
         if self._holds_newest(target, model):
@@ -126,22 +133,22 @@
         if not await self.leadership.acquire_or_renew():
             return rollout.LoadOutcome.NO_LEASE
         try:
-            self._tell(target, model, report.born_ms, loading=True)
-            await anyio.sleep(_EMPTY_QUEUE_S)
-            given = await self._order(target, model, report)
-            if given is None:
+            self._notify_hosts(target, model, report.born_ms, loading=True)
+            await anyio.sleep(_NOTICE_LEAD_S)
+            sent = await self._send_order(target, model, report)
+            if sent is None:
                 return rollout.LoadOutcome.NO_LEASE
-            return await self._follow(target, model, given)
+            return await self._process_answer(target, model, sent)
         finally:
-            self._tell(target, model, report.born_ms, loading=False)
+            self._notify_hosts(target, model, report.born_ms, loading=False)
 
-    def _tell(
+    def _notify_hosts(
         self, target: objects.Target, model: str, born_ms: int, loading: bool
     ) -> None:
-        """Tells all hosts whether an engine loads, and what it holds."""
+        """Notifies all hosts whether an engine loads and what it holds."""
         version = self.site.weights.held_version(target.name, model) or 0
         if loading:
-            version = self._newest(model)
+            version = self._newest_version(model)
         self.work.tell_weights(
             work_notice.WeightsNotice(
                 target_list.incarnation_key(target.name, born_ms),
@@ -151,17 +158,17 @@
             )
         )
 
-    async def _order(
+    async def _send_order(
         self,
         target: objects.Target,
         model: str,
         report: targets_lib.EngineReport,
-    ) -> _Given | None:
-        """Gives an order; returns None when the lease has run out."""
+    ) -> _SentOrder | None:
+        """Sends an order; returns None if the lease has expired."""
         lease = self.leadership.lease
         order = orders.WeightsOrder(
             model,
-            self._newest(model),
+            self._newest_version(model),
             STRATEGY,
             self.site.settings.host,
             lease.fencing_token,
@@ -188,24 +195,24 @@
                 "seconds": round(clock.now() - now, 3),
             },
         )
-        return _Given(
+        return _SentOrder(
             order.version, order.orders_taken, now, answer, report.born_ms
         )
 
-    async def _follow(
-        self, target: objects.Target, model: str, given: _Given
+    async def _process_answer(
+        self, target: objects.Target, model: str, sent: _SentOrder
     ) -> rollout.LoadOutcome:
-        """Returns what became of a target after an order."""
-        match given.answer:
+        """Returns the outcome of a load after the answer to its order."""
+        match sent.answer:
             case orders.OrderAnswer.TAKEN:
-                return await self._watch(
-                    target, model, given.orders_taken, given.born_ms
+                return await self._await_load(
+                    target, model, sent.orders_taken, sent.born_ms
                 )
             case orders.OrderAnswer.UNKNOWN | orders.OrderAnswer.CONFLICT:
-                return await self._settle(target, model, given)
+                return await self._resolve_uncertain(target, model, sent)
             case orders.OrderAnswer.ALREADY_HOLDS:
-                self.site.observe_weights(target.name, model, given.version)
-                return self._reached(target, model)
+                self.site.observe_weights(target.name, model, sent.version)
+                return self._outcome_of_finished_load(target, model)
             case orders.OrderAnswer.FENCED:
                 self.leadership.step_down("an engine has seen a newer holder")
                 return rollout.LoadOutcome.NO_LEASE
@@ -215,61 +222,61 @@
                 return rollout.LoadOutcome.NO_REPORT
         return rollout.LoadOutcome.NOT_TAKEN
 
-    async def _settle(
-        self, target: objects.Target, model: str, given: _Given
+    async def _resolve_uncertain(
+        self, target: objects.Target, model: str, sent: _SentOrder
     ) -> rollout.LoadOutcome:
-        """Finds out by the report whether an order was taken.
+        """Determines by the report whether an order was accepted.
 
-        If it was not, it may still be carried out later. It is left at that:
-        an order that repeats it names the same count and so makes it fail.
+        If it was not, it may still be executed later. This needs no action: an
+        order that repeats it names the same count and so makes it fail.
         """
-        left_s = given.at + _SETTLED_S - clock.now()
-        await anyio.sleep(max(0.0, left_s))
-        report = await self._ask(target, model)
+        remaining_s = sent.sent_at + _REPORT_LAG_S - clock.now()
+        await anyio.sleep(max(0.0, remaining_s))
+        report = await self._read_report(target, model)
         if report is None:
-            return self._unreported(target)
-        if report.born_ms != given.born_ms:
+            return self._outcome_without_report(target)
+        if report.born_ms != sent.born_ms:
             return rollout.LoadOutcome.RESTARTED
-        if report.busy or report.orders > given.orders_taken:
-            return await self._watch(
-                target, model, given.orders_taken, given.born_ms
+        if report.busy or report.orders > sent.orders_taken:
+            return await self._await_load(
+                target, model, sent.orders_taken, sent.born_ms
             )
         return rollout.LoadOutcome.UNANSWERED
 
-    async def _watch(
+    async def _await_load(
         self,
         target: objects.Target,
         model: str,
         orders_before: int,
         born_ms: int,
     ) -> rollout.LoadOutcome:
-        """Waits until a load that the engine has confirmed is over.
+        """Waits until a load that the engine has confirmed ends.
 
         Args:
-            target: Which engine.
-            model: Whose weights it loads.
-            orders_before: Its count of orders before it took this one; a
-                report with this count is from before.
-            born_ms: When the engine started that took it; one that has started
-                again since has lost the order, and counts anew.
+            target: The engine.
+            model: Model whose weights it loads.
+            orders_before: The engine's count of orders before it accepted this
+                one; a report with this count is outdated.
+            born_ms: Start time of the engine that accepted the order. An engine
+                that has restarted since has lost the order and counts anew.
         """
         name = target.name
         self.plan.set_stage(name, rollout.LoadStage.LOADING, clock.now())
         while name in self.site.targets.entries:
-            await anyio.sleep(_POLL_S)
-            report = await self._ask(target, model)
+            await anyio.sleep(_POLL_INTERVAL_S)
+            report = await self._read_report(target, model)
             if report is None:
                 return rollout.LoadOutcome.NO_REPORT
             if report.born_ms != born_ms:
                 return rollout.LoadOutcome.RESTARTED
             if not report.busy and report.orders > orders_before:
-                return self._reached(target, model)
+                return self._outcome_of_finished_load(target, model)
         return rollout.LoadOutcome.TARGET_GONE
 
-    async def _ask(
+    async def _read_report(
         self, target: objects.Target, model: str
     ) -> targets_lib.EngineReport | None:
-        """Returns a target's report, and notes what weights it holds."""
+        """Reads a target's report and records the weights that it holds."""
         report = await orders.read_report(self.pool, target)
         if report is None:
             return None
@@ -277,22 +284,24 @@
             return None
         return report
 
-    def _unreported(self, target: objects.Target) -> rollout.LoadOutcome:
+    def _outcome_without_report(
+        self, target: objects.Target
+    ) -> rollout.LoadOutcome:
         if target.name in self.site.targets.entries:
             return rollout.LoadOutcome.NO_REPORT
         return rollout.LoadOutcome.TARGET_GONE
 
-    def _reached(
+    def _outcome_of_finished_load(
         self, target: objects.Target, model: str
     ) -> rollout.LoadOutcome:
-        """Returns the end of a load that is over."""
+        """Returns the outcome of a load that has ended."""
         if self._holds_newest(target, model):
             return rollout.LoadOutcome.HELD
         return rollout.LoadOutcome.OVERTAKEN
 
     def _holds_newest(self, target: objects.Target, model: str) -> bool:
         held = self.site.weights.held_version(target.name, model) or 0
-        return held >= self._newest(model)
+        return held >= self._newest_version(model)
 
-    def _newest(self, model: str) -> int:
+    def _newest_version(self, model: str) -> int:
         return self.site.weights.newest[model].version
--- a/tests/coordination/gateway/orders/test_old_weights.py
+++ b/tests/coordination/gateway/orders/test_old_weights.py
@@ -1,7 +1,8 @@
-"""Tests that nothing starts on weights that were named too long ago.
+"""Tests that no request starts on weights that are too old.
 
-They run in real time: a start on older weights is forbidden from 10 s after
-newer ones were named, whatever a host or an engine has gone through since.
+The tests run in real time: a start on older weights is forbidden from 10 s
+after newer ones were announced, whatever happened to the host or the engine
+meanwhile.
 """
 
 import time
@@ -15,8 +16,8 @@
 from tests.coordination.gateway import scene as scene_lib
 
 _FORBIDDEN_S = 10.0
-# A host counts as reachable so long after its start or an outage.
-_IN_TOUCH_S = 3.0
+# A host counts as reachable this long after its start or an outage.
+_REACHABLE_AFTER_S = 3.0
 _MARGIN_S = 0.05
 
 
@@ -26,7 +27,7 @@
 
 class OldWeightsTest(unittest.TestCase):
     async def assert_refused(self, scene):
-        """Checks that a request is refused, for its engine's old weights."""
+        """Checks that a request is refused because of old weights."""
         engine = scene.engines[0]
         answer = await scene.call(scene.prompt("/stream/x"))
         self.assertEqual([run.weights for run in engine.runs], [])
@@ -37,46 +38,48 @@
         lag = scene.site.weights.lag("e0", "m", time.monotonic())
         self.assertEqual(lag.grace, weights.WeightsGrace.FORBIDDEN)
 
-    def test_newer_weights_do_not_prolong_the_time_of_older_ones(self):
-        async def story(scene):
+    def test_newer_announcement_does_not_prolong_older_weights(self):
+        async def scenario(scene):
             engine = scene.engines[0]
-            engine.order_status = 409  # it never loads
-            named_at = time.monotonic()
+            engine.order_status = 409  # the engine never loads
+            announced_at = time.monotonic()
             scene.name_weights(2)
-            await _wait_until(named_at + 6.0)
+            await _wait_until(announced_at + 6.0)
             scene.name_weights(3)
-            await _wait_until(named_at + _FORBIDDEN_S + _MARGIN_S)
+            await _wait_until(announced_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_weights_found_at_the_start_may_have_been_named_long_ago(self):
-        async def story(scene):
+    def test_weights_found_at_the_start_count_as_announced_long_ago(self):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.order_status = 409
-            await _wait_until(scene.site.started_at + _IN_TOUCH_S + _MARGIN_S)
+            await _wait_until(
+                scene.site.started_at + _REACHABLE_AFTER_S + _MARGIN_S
+            )
             await self.assert_refused(scene)
 
-        scene_lib.play(story, engines=1, weights=2)
+        scene_lib.play(scenario, engines=1, weights=2)
 
-    def test_weights_learned_of_late_were_named_before(self):
-        async def story(scene):
+    def test_weights_learned_of_late_count_from_their_announcement(self):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.order_status = 409
             scene.store.faults.silent = True
-            await anyio.sleep(3.0)  # a read under way has ended by then
-            named_at = time.monotonic()
+            await anyio.sleep(3.0)  # a read in progress has ended by then
+            announced_at = time.monotonic()
             scene.name_weights(2)
-            await _wait_until(named_at + 3.0)
+            await _wait_until(announced_at + 3.0)
             scene.store.faults.silent = False
             await scene.until(lambda: "m" in scene.site.weights.newest)
-            await _wait_until(named_at + _FORBIDDEN_S + _MARGIN_S)
+            await _wait_until(announced_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
     def test_old_weights_serve_while_newer_ones_are_loaded(self):
-        async def story(scene):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.order_status = 409
             scene.name_weights(2)
@@ -85,23 +88,23 @@
             self.assertEqual(answer.head.status, 200)
             self.assertEqual([run.weights for run in engine.runs], [1])
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_frozen_host_learns_late_of_what_was_named_meanwhile(self):
-        async def story(scene):
+    def test_paused_host_counts_from_the_announcement(self):
+        async def scenario(scene):
             scene.engines[0].order_status = 409
-            await anyio.sleep(0.5)  # a read is held by now
-            named_at = time.monotonic()
+            await anyio.sleep(0.5)  # the store holds a read by now
+            announced_at = time.monotonic()
             scene.name_weights(2)
-            time.sleep(6.0)  # noqa: ASYNC251 (nothing runs meanwhile)
+            time.sleep(6.0)  # noqa: ASYNC251 (pauses the host)
             await scene.until(lambda: "m" in scene.site.weights.newest)
-            await _wait_until(named_at + _FORBIDDEN_S + _MARGIN_S)
+            await _wait_until(announced_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_start_after_a_wait_that_was_foreseen(self):
-        async def story(scene):
+    def test_expected_queue_time_counts_towards_the_limit(self):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.order_status = 409
             now = time.monotonic()
@@ -112,10 +115,10 @@
             second = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(second.head.status, 503)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_refusals_do_not_shorten_the_wait_that_is_foreseen(self):
-        async def story(scene):
+    def test_refusals_do_not_shorten_the_expected_wait(self):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.behave(standin.Queue(0.6))
             answer = await scene.call(scene.prompt("/stream/x"))
@@ -126,31 +129,31 @@
                 await anyio.sleep(0.2)
             self.assertGreaterEqual(scene.site.state("e0").first_byte_s, 0.6)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_request_still_waiting_when_weights_are_too_old_is_ended(self):
+    def test_waiting_request_ends_when_weights_become_too_old(self):
         for path in ("/resume/x", "/stream/x"):
             with self.subTest(path=path):
 
-                async def story(scene, path=path):
+                async def scenario(scene, path=path):
                     engine = scene.engines[0]
                     engine.order_status = 409
-                    named_at = time.monotonic() - 8.9
+                    announced_at = time.monotonic() - 8.9
                     scene.site.weights.record_announcement(
-                        "m", 2, named_at, named_at
+                        "m", 2, announced_at, announced_at
                     )
                     engine.behave(standin.Queue(1.5))
                     answer = await scene.call(scene.prompt(path))
                     self.assertEqual(answer.head.status, 502)
                     ended_at = time.monotonic()
-                    self.assertLess(ended_at, named_at + _FORBIDDEN_S + 0.3)
-                    await _wait_until(named_at + 11.0)
+                    self.assertLess(ended_at, announced_at + _FORBIDDEN_S + 0.3)
+                    await _wait_until(announced_at + 11.0)
                     self.assertEqual(engine.runs, [])
 
-                scene_lib.play(story, engines=1)
+                scene_lib.play(scenario, engines=1)
 
-    def test_ends_of_waits_are_no_fault_of_the_target(self):
-        async def story(scene):
+    def test_ended_waits_do_not_eject_the_target(self):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.order_status = 409
             connections = 2
@@ -158,8 +161,10 @@
                 async with anyio.create_task_group() as tasks:
                     for _ in range(connections):
                         tasks.start_soon(scene.call, scene.prompt("/stream/x"))
-            named_at = time.monotonic() - 8.9
-            scene.site.weights.record_announcement("m", 2, named_at, named_at)
+            announced_at = time.monotonic() - 8.9
+            scene.site.weights.record_announcement(
+                "m", 2, announced_at, announced_at
+            )
             scene.site.state("e0").first_byte_s = 0.0
             engine.behave(*[standin.Queue(1.5)] * connections)
             async with anyio.create_task_group() as tasks:
@@ -169,12 +174,12 @@
             self.assertTrue(state.is_available(time.monotonic()))
             self.assertGreater(scene.program.pool.trust_s, 1.0)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_guess_that_forbids_a_target_is_checked_with_it(self):
-        async def story(scene):
+    def test_guessed_version_is_verified_with_the_target(self):
+        async def scenario(scene):
             (engine,) = scene.engines
-            # Another host has the duty of orders, and asks for reports.
+            # Another host gives orders and reads reports.
             scene.program.rollout.leadership.try_acquire = mock.AsyncMock(
                 return_value=False
             )
@@ -191,15 +196,15 @@
             second = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(second.head.status, 200)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
     def test_limit_is_a_setting(self):
-        async def story(scene):
+        async def scenario(scene):
             scene.engines[0].order_status = 409
-            named_at = time.monotonic()
+            announced_at = time.monotonic()
             scene.name_weights(2)
             await scene.until(lambda: "m" in scene.site.weights.newest)
-            await _wait_until(named_at + 4.0)
+            await _wait_until(announced_at + 4.0)
             await self.assert_refused(scene)
 
-        scene_lib.play(story, engines=1, version_ms=4_000)
+        scene_lib.play(scenario, engines=1, version_ms=4_000)
--- a/tests/coordination/gateway/orders/test_rollout.py
+++ b/tests/coordination/gateway/orders/test_rollout.py
@@ -1,4 +1,4 @@
-"""Tests that new weights reach all engines, whatever single ones do."""
+"""Tests that new weights reach all engines, even if some misbehave."""
 
 import math
 import time
@@ -13,12 +13,12 @@
 
 _ENGINES = 5  # two of five load at a time
 _LEASE_MS = 300
-# Nobody listens there.
-_NOWHERE = "127.0.0.1:1"
+# No process listens on this address.
+_UNUSED_ADDRESS = "127.0.0.1:1"
 
 
-def _in_wave(scene, version):
-    """Returns the engines in the order of their loads."""
+def _in_load_order(scene, version):
+    """Returns the engines in load order."""
     engines = {engine.name: engine for engine in scene.engines}
     return [
         engines[name]
@@ -26,8 +26,8 @@
     ]
 
 
-def _first_in_wave(scene, version, count):
-    """Returns names that come before those of all engines."""
+def _names_loading_first(scene, version, count):
+    """Returns target names that come before all engines in load order."""
     engines = {engine.name for engine in scene.engines}
     names = [f"lost{number}" for number in range(1000)]
     first = rollout.rank_for_rollout("m", version, names)[:count]
@@ -36,94 +36,94 @@
     return first
 
 
-async def _rest_holds(scene, engines, version):
-    """Waits until engines hold a version; fails when it takes for ever."""
+async def _until_held(scene, engines, version):
+    """Waits until engines hold a version; fails after a time limit."""
     await scene.until(lambda: all(e.weights == version for e in engines))
 
 
-class StalledRolloutTest(unittest.TestCase):
-    def test_lost_targets_do_not_hold_up_the_others(self):
-        async def story(scene):
-            for name in _first_in_wave(scene, 2, 2):
-                entry = scene.engines[0].entry() | {"address": _NOWHERE}
+class UncooperativeTargetsTest(unittest.TestCase):
+    def test_lost_targets_do_not_delay_others(self):
+        async def scenario(scene):
+            for name in _names_loading_first(scene, 2, 2):
+                entry = scene.engines[0].entry() | {"address": _UNUSED_ADDRESS}
                 scene.store.put("keyed.servers", name, entry)
             entries = scene.site.targets.entries
             await scene.until(lambda: len(entries) == _ENGINES)
             scene.name_weights(2)
-            await _rest_holds(scene, scene.engines, 2)
+            await _until_held(scene, scene.engines, 2)
 
-        scene_lib.play(story, engines=_ENGINES - 2, plain=0)
+        scene_lib.play(scenario, engines=_ENGINES - 2, plain=0)
 
-    def test_silent_targets_do_not_hold_up_the_others(self):
-        async def story(scene):
-            first, second, *rest = _in_wave(scene, 2)
+    def test_silent_targets_do_not_delay_others(self):
+        async def scenario(scene):
+            first, second, *rest = _in_load_order(scene, 2)
             first.silent = second.silent = True
             scene.name_weights(2)
-            await _rest_holds(scene, rest, 2)
+            await _until_held(scene, rest, 2)
 
-        scene_lib.play(story, engines=_ENGINES, plain=0)
+        scene_lib.play(scenario, engines=_ENGINES, plain=0)
 
-    def test_unanswered_orders_do_not_hold_up_the_others(self):
-        async def story(scene):
-            first, second, *rest = _in_wave(scene, 2)
+    def test_unanswered_orders_do_not_delay_others(self):
+        async def scenario(scene):
+            first, second, *rest = _in_load_order(scene, 2)
             for engine in (first, second):
                 engine.lost_orders.extend([math.inf] * 50)
             scene.name_weights(2)
-            await _rest_holds(scene, rest, 2)
+            await _until_held(scene, rest, 2)
 
-        scene_lib.play(story, engines=_ENGINES, plain=0)
+        scene_lib.play(scenario, engines=_ENGINES, plain=0)
 
-    def test_unanswered_order_is_repeated_once_others_had_their_turn(self):
-        async def story(scene):
-            first, second, *_ = _in_wave(scene, 2)
+    def test_unanswered_order_is_repeated_after_other_targets(self):
+        async def scenario(scene):
+            first, second, *_ = _in_load_order(scene, 2)
             for engine in (first, second):
                 engine.lost_orders.append(math.inf)
             scene.name_weights(2)
-            await _rest_holds(scene, scene.engines, 2)
+            await _until_held(scene, scene.engines, 2)
             seen = sum(engine.orders_seen for engine in scene.engines)
             self.assertEqual(seen, _ENGINES + 2)
 
-        scene_lib.play(story, engines=_ENGINES, plain=0)
+        scene_lib.play(scenario, engines=_ENGINES, plain=0)
 
-    def test_order_carried_out_late_is_not_given_twice(self):
-        async def story(scene):
+    def test_order_executed_late_is_not_sent_twice(self):
+        async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.append(0.3)
             scene.name_weights(2)
-            await _rest_holds(scene, [engine], 2)
+            await _until_held(scene, [engine], 2)
             await anyio.sleep(1.0)
             self.assertEqual(engine.orders_seen, 1)
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
 
     def test_repeated_order_makes_the_late_one_fail(self):
-        async def story(scene):
+        async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.append(2.0)
             scene.name_weights(2)
-            await _rest_holds(scene, [engine], 2)
+            await _until_held(scene, [engine], 2)
             await anyio.sleep(1.5)
             self.assertEqual(len(engine.orders), 1)
             self.assertEqual(engine.orders[0]["expectedRevision"], 0)
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
 
     def test_overtaken_versions_are_skipped(self):
-        async def story(scene):
+        async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.append(math.inf)
             scene.name_weights(2)
             await scene.until(lambda: engine.orders_seen == 1)
             scene.name_weights(3)
-            await _rest_holds(scene, [engine], 3)
+            await _until_held(scene, [engine], 3)
             versions = [order["version"] for order in engine.orders]
             self.assertEqual(versions, [3])
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
 
     def test_oldest_weights_are_replaced_first(self):
-        async def story(scene):
-            *newer, oldest = _in_wave(scene, 3)
+        async def scenario(scene):
+            *newer, oldest = _in_load_order(scene, 3)
             for engine in newer:
                 engine.weights = 2
                 scene.list_target(engine)
@@ -139,10 +139,10 @@
             )
             self.assertEqual(len(oldest.orders), 1)
 
-        scene_lib.play(story, engines=_ENGINES, plain=0)
+        scene_lib.play(scenario, engines=_ENGINES, plain=0)
 
-    def test_no_more_loads_at_once_than_planned(self):
-        async def story(scene):
+    def test_concurrent_loads_reach_but_do_not_exceed_the_limit(self):
+        async def scenario(scene):
             for engine in scene.engines:
                 engine.load_s = 0.5
             scene.name_weights(2)
@@ -154,10 +154,10 @@
                     await anyio.sleep(0.005)
             self.assertEqual(most, rollout.max_concurrent_loads(_ENGINES))
 
-        scene_lib.play(story, engines=_ENGINES, plain=0)
+        scene_lib.play(scenario, engines=_ENGINES, plain=0)
 
-    def test_incarnation_that_is_gone_is_ordered_once(self):
-        async def story(scene):
+    def test_replaced_incarnation_is_sent_one_order(self):
+        async def scenario(scene):
             (engine,) = scene.engines
             engine.order_status = 421
             scene.name_weights(2)
@@ -165,14 +165,14 @@
             await anyio.sleep(1.0)
             self.assertEqual(engine.orders_seen, 1)
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
 
 
 class SuccessionTest(unittest.TestCase):
-    """A holder that gives no orders is followed when its lease is over."""
+    """Tests the succession of a holder that gives no orders."""
 
-    def test_lease_is_looked_at_soon_after_the_start(self):
-        async def story(scene):
+    def test_lease_is_read_soon_after_the_start(self):
+        async def scenario(scene):
             lease = scene.program.rollout.lease
             await scene.until(lambda: lease.contender.state.holder == "h0")
             self.assertGreater(lease.contender.contend_at, float("-inf"))
@@ -183,10 +183,10 @@
             )
             await other.acquire_or_renew()
 
-        scene_lib.play(story, engines=1, plain=0, before=before)
+        scene_lib.play(scenario, engines=1, plain=0, before=before)
 
-    def test_holder_killed_when_it_had_taken_the_lease(self):
-        async def story(scene):
+    def test_lease_of_a_killed_holder_is_waited_for(self):
+        async def scenario(scene):
             other = order_lease.OrderLease(
                 scene.program.store, "h0", _LEASE_MS / 1000.0
             )
@@ -202,10 +202,10 @@
             waited_s = engine.order_log[0].at - taken_at
             self.assertGreater(waited_s, other.contender.ttl_s)
 
-        scene_lib.play(story, engines=1, plain=0, lease_ms=_LEASE_MS)
+        scene_lib.play(scenario, engines=1, plain=0, lease_ms=_LEASE_MS)
 
-    def test_host_whose_order_was_fenced_stops(self):
-        async def story(scene):
+    def test_host_stops_after_a_fenced_order(self):
+        async def scenario(scene):
             (engine,) = scene.engines
             engine.order_status = 412
             scene.name_weights(2)
@@ -213,10 +213,10 @@
             await anyio.sleep(1.5)
             self.assertEqual(engine.orders_seen, 1)
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
 
-    def test_host_about_to_end_takes_no_lease(self):
-        async def story(scene):
+    def test_stopping_host_does_not_acquire_the_lease(self):
+        async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.extend([math.inf] * 50)
             scene.name_weights(2)
@@ -227,4 +227,4 @@
             self.assertEqual(engine.orders_seen, 1)
             self.assertFalse(scene.program.rollout.lease.is_holder)
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
--- a/tests/coordination/gateway/orders/test_weights_notices.py
+++ b/tests/coordination/gateway/orders/test_weights_notices.py
@@ -1,8 +1,8 @@
-"""Tests that hosts know which engines load weights, and send them nothing.
+"""Tests that hosts send no requests to engines that load weights.
 
-An engine that carries out an order refuses all that it has not begun. Where a
-rollout moves four in ten engines at once, hosts that do not know of it have a
-good part of their prompts refused, and send them once more.
+An engine that executes an order refuses all requests that have not begun. A
+rollout loads on four in ten engines at once, so hosts that do not know of it
+have many of their prompts refused and send them again.
 """
 
 import unittest
@@ -17,13 +17,13 @@
 from tests.coordination.gateway import scene as scene_lib
 from tests.coordination.gateway.peers import test_feed
 
-# Long beside the time in which prompts are sent here.
+# Long compared with the time in which the test sends its prompts.
 _LOAD_S = 0.4
-_PROMPTS = 30
+_PROMPT_COUNT = 30
 
 
 async def two_hosts(scene):
-    """Returns another host, when each knows of the other."""
+    """Returns a second host once both hosts know of each other."""
     other = await test_feed.second_host(scene)
     await scene.until(
         lambda: (
@@ -34,13 +34,13 @@
 
 
 class WeightsNoticeTest(unittest.TestCase):
-    def test_no_prompt_is_sent_to_an_engine_that_loads(self):
-        async def story(scene):
+    def test_no_prompt_is_sent_to_a_loading_engine(self):
+        async def scenario(scene):
             for engine in scene.engines:
                 engine.load_s = _LOAD_S
             scene.name_weights(2)
             await scene.until(lambda: any(e.busy for e in scene.engines))
-            for _ in range(_PROMPTS):
+            for _ in range(_PROMPT_COUNT):
                 answer = await scene.call(scene.prompt("/stream/x"))
                 self.assertEqual(answer.head.status, 200)
                 await anyio.sleep(0.02)
@@ -51,12 +51,12 @@
                 lambda: all(e.weights == 2 for e in scene.engines)
             )
 
-        scene_lib.play(story, engines=3, plain=0)
+        scene_lib.play(scenario, engines=3, plain=0)
 
-    def test_other_hosts_hear_of_the_load_and_of_its_end(self):
-        """The list tells of new weights only with the next heartbeat."""
+    def test_other_hosts_are_notified_of_a_load_and_its_end(self):
+        """The list shows new weights only with the next heartbeat."""
 
-        async def story(scene):
+        async def scenario(scene):
             other = await two_hosts(scene)
             (engine,) = scene.engines
             engine.load_s = _LOAD_S
@@ -81,22 +81,23 @@
                 state = site.state(engine.name)
                 self.assertLess(state.loading_until, anyio.current_time())
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
 
-    def test_only_those_that_would_follow_ask_who_orders(self):
-        """Hosts that hear of loads know that somebody does.
+    def test_only_possible_successors_read_the_lease(self):
+        """Hosts that are notified of loads know that some host gives orders.
 
-        How long a lease lasts counts from when its last record was read: hosts
-        that would follow next read on, or a holder that is cut off from the
-        store is followed 5 s too late.
+        A lease's duration counts from when its last record was read. The next
+        hosts in line therefore go on reading; otherwise a holder that is cut
+        off from the store is succeeded 5 s too late.
         """
         for followers, positions in ((0, [-1, 0]), (3, [0, 0])):
             with self.subTest(followers=followers):
 
-                async def story(scene, positions=positions):
+                async def scenario(scene, positions=positions):
                     other = await two_hosts(scene)
                     (engine,) = scene.engines
-                    # So long that others would ask, and that loads are told of.
+                    # Long enough that others would read the lease and that
+                    # hosts are notified of loads.
                     engine.load_s = 1.0
                     scene.name_weights(2)
                     await scene.until(lambda: engine.weights == 2)
@@ -109,10 +110,10 @@
                 with mock.patch.object(
                     succession, "WATCHING_HOST_COUNT", followers
                 ):
-                    scene_lib.play(story, engines=1, plain=0)
+                    scene_lib.play(scenario, engines=1, plain=0)
 
-    def test_notice_for_an_earlier_start_changes_nothing(self):
-        async def story(scene):
+    def test_notice_for_an_earlier_start_is_ignored(self):
+        async def scenario(scene):
             (engine,) = scene.engines
             notice = work_notice.WeightsNotice(
                 target_list.incarnation_key(engine.name, engine.born_ms - 1),
@@ -125,11 +126,11 @@
                 scene.site.weights.held_version(engine.name, "m"), 1
             )
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.play(scenario, engines=1, plain=0)
 
 
-class LoadWithoutEndTest(unittest.TestCase):
-    def test_engine_is_used_again_when_no_end_is_heard(self):
+class MissingEndNoticeTest(unittest.TestCase):
+    def test_engine_is_used_again_without_an_end_notice(self):
         state = target_state.TargetState()
         state.begin_load(10.0)
         self.assertGreater(state.loading_until, 10.8)
