--- a/hillthread/coordination/gateway/orders/order_lease.py
+++ b/hillthread/coordination/gateway/orders/order_lease.py
@@ -23,6 +23,7 @@
 LEASE_TOPIC = "order-lease"
 # How long a holder may act after an append; it renews the lease while it works.
 _ACT_S = 2.0
+# Margin added to the lease's duration and to the pause between holders.
 _MARGIN_S = 0.3
 # Delay after a failed call: each call has a price, and a renewal begins early
 # enough to be retried.
--- a/hillthread/coordination/gateway/orders/rollout_keeper.py
+++ b/hillthread/coordination/gateway/orders/rollout_keeper.py
@@ -24,6 +24,8 @@
 
 __all__ = ["RolloutController"]
 
+# Interval while targets hold old weights or load; the end of a load ends it
+# early.
 _ACTIVE_INTERVAL_S = 0.1
 # Interval while there is nothing to order; announced weights end it early.
 _IDLE_INTERVAL_S = 1.0
--- a/hillthread/state/targets/departures.py
+++ b/hillthread/state/targets/departures.py
@@ -34,7 +34,7 @@
 
     def mark_leaving(self, target: str, incarnation: str) -> bool:
         """Records that a target leaves; returns whether that is new."""
-        if self._is_late(target, incarnation):
+        if self._has_departure_ended(target, incarnation):
             return False
         self.live.pop(target, None)
         self.departed[(target, incarnation)] = True
@@ -64,7 +64,7 @@
         self.leaving.pop(target, None)
         self.live.pop(target, None)
 
-    def _is_late(self, target: str, incarnation: str) -> bool:
+    def _has_departure_ended(self, target: str, incarnation: str) -> bool:
         """Returns whether the departure of this incarnation has ended."""
         if not incarnation or target not in self.live:
             return False
--- a/hillthread/state/targets/health.py
+++ b/hillthread/state/targets/health.py
@@ -4,7 +4,7 @@
 
 import enum
 
-__all__ = ["CircuitBreaker", "BreakerState"]
+__all__ = ["BreakerState", "CircuitBreaker"]
 
 # Upper limit of an ejection's length, as a multiple of the first one's.
 _MAX_EJECT_FACTOR = 8
--- a/hillthread/state/targets/rollout.py
+++ b/hillthread/state/targets/rollout.py
@@ -26,8 +26,8 @@
     "LoadStage",
     "RolloutPlan",
     "max_concurrent_loads",
-    "targets_behind",
     "rank_for_rollout",
+    "targets_behind",
 ]
 
 # More concurrent loads than this share of a pool slow each other down. It gives
--- a/hillthread/state/targets/weights.py
+++ b/hillthread/state/targets/weights.py
@@ -5,7 +5,7 @@
 import enum
 from typing import NamedTuple
 
-__all__ = ["AnnouncedWeights", "WeightsTracker", "WeightsGrace", "WeightsLag"]
+__all__ = ["AnnouncedWeights", "WeightsGrace", "WeightsLag", "WeightsTracker"]
 
 # By the platform's documentation starts on older weights cost nothing for 1.5 s
 # after newer weights were announced; the margin covers the request's way to the
--- a/tests/coordination/gateway/orders/test_order_lease.py
+++ b/tests/coordination/gateway/orders/test_order_lease.py
@@ -47,16 +47,16 @@
         self.is_refusing = False
         self.calls = 0
 
-    def _take_call(self):
+    def _record_call(self):
         self.calls += 1
         if self.is_refusing:
-            raise errors.LogError("The store refuses.", "Ask it later.")
+            raise errors.LogError("The store refuses calls.", "Retry later.")
 
     async def append(self, topic, payload, end):
         """Appends a record if the topic ends at the given position."""
-        self._take_call()
+        self._record_call()
         if end != self._end():
-            raise errors.ConflictError("It ends elsewhere.", "Read it.")
+            raise errors.ConflictError("The topic has grown.", "Read it.")
         self.records.append(payload)
         return end
 
@@ -65,7 +65,7 @@
 
     async def read(self, topic, position, wait_s):
         """Returns the records from a position on."""
-        self._take_call()
+        self._record_call()
         records = [
             log_pages.LogRecord(position._replace(offset=offset), payload)
             for offset, payload in enumerate(self.records)
@@ -140,17 +140,17 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(store.server.serve)
                 former = self.lease(store, "h0")
-                knowing = self.lease(store, "h1")
+                informed = self.lease(store, "h1")
                 new = self.lease(store, "h2")
                 self.assertTrue(await former.acquire_or_renew())
-                await knowing.catch_up()
+                await informed.catch_up()
                 await anyio.sleep(_EXPIRY_S)
                 store.drop_history(_RETENTION_S)
                 await new.catch_up()  # there are no records to read
-                self.assertTrue(await knowing.acquire_or_renew())
+                self.assertTrue(await informed.acquire_or_renew())
                 self.assertFalse(await new.acquire_or_renew())
                 self.assertFalse(new.may_act())
-                self.assertTrue(await knowing.acquire_or_renew())
+                self.assertTrue(await informed.acquire_or_renew())
                 tasks.cancel_scope.cancel()
 
         anyio.run(run)
--- a/tests/coordination/gateway/orders/test_weights_notices.py
+++ b/tests/coordination/gateway/orders/test_weights_notices.py
@@ -22,7 +22,7 @@
 _PROMPT_COUNT = 30
 
 
-async def two_hosts(scene):
+async def _start_second_host(scene):
     """Returns a second host once both hosts know of each other."""
     other = await test_feed.second_host(scene)
     await scene.until(
@@ -57,25 +57,25 @@
         """The list shows new weights only with the next heartbeat."""
 
         async def scenario(scene):
-            other = await two_hosts(scene)
+            other = await _start_second_host(scene)
             (engine,) = scene.engines
             engine.load_s = _LOAD_S
-            seen = []
-            take = other.site.take_weights_notice
+            notices = []
+            original_of_other = other.site.take_weights_notice
             other.site.take_weights_notice = lambda notice, now: (
-                seen.append(notice),
-                take(notice, now),
+                notices.append(notice),
+                original_of_other(notice, now),
             )
-            first = scene.site.take_weights_notice
+            original = scene.site.take_weights_notice
             scene.site.take_weights_notice = lambda notice, now: (
-                seen.append(notice),
-                first(notice, now),
+                notices.append(notice),
+                original(notice, now),
             )
             scene.name_weights(2)
-            await scene.until(lambda: len(seen) >= 2)
-            self.assertEqual({each.loading for each in seen}, {True})
+            await scene.until(lambda: len(notices) >= 2)
+            self.assertEqual({each.loading for each in notices}, {True})
             self.assertEqual(engine.weights, 1)
-            await scene.until(lambda: len(seen) >= 4)
+            await scene.until(lambda: len(notices) >= 4)
             for site in (scene.site, other.site):
                 self.assertEqual(site.weights.held_version(engine.name, "m"), 2)
                 state = site.state(engine.name)
@@ -90,11 +90,11 @@
         hosts in line therefore go on reading; otherwise a holder that is cut
         off from the store is succeeded 5 s too late.
         """
-        for followers, positions in ((0, [-1, 0]), (3, [0, 0])):
-            with self.subTest(followers=followers):
+        for successor_count, positions in ((0, [-1, 0]), (3, [0, 0])):
+            with self.subTest(successor_count=successor_count):
 
                 async def scenario(scene, positions=positions):
-                    other = await two_hosts(scene)
+                    other = await _start_second_host(scene)
                     (engine,) = scene.engines
                     # Long enough that others would read the lease and that
                     # hosts are notified of loads.
@@ -108,7 +108,7 @@
                     self.assertEqual(sorted(read_to), positions)
 
                 with mock.patch.object(
-                    succession, "WATCHING_HOST_COUNT", followers
+                    succession, "WATCHING_HOST_COUNT", successor_count
                 ):
                     scene_lib.play(scenario, engines=1, plain=0)
 
--- a/tests/state/targets/test_announcements_at_size.py
+++ b/tests/state/targets/test_announcements_at_size.py
@@ -28,7 +28,7 @@
 # Requests sent this soon after a back-off was requested may be under way
 # already.
 IN_FLIGHT_S = 0.5
-MAX_IN_BACKOFF = 2
+MAX_REQUESTS_IN_BACKOFF = 2
 FAULTS_AT_S = 4.0
 # Numbers of hosts, data centres and targets.
 DEPLOYMENTS = ((8, 4, 9), (90, 4, 45), (420, 20, 60))
@@ -64,8 +64,8 @@
 
     Attributes:
         arrivals: Host, its generation, target and send time of each request.
-        announced: When a host's process first passed on a departure, by host,
-            generation and target.
+        announced: When a host's process first notified others of a departure,
+            by host, generation and target.
         refused: Host, generation, target and time of each refusal with a
             back-off.
     """
@@ -293,7 +293,8 @@
                 simulation.run(16.0)
                 self.assertTrue(simulation.refused)
                 self.assertLessEqual(
-                    simulation.max_requests_in_backoff(), MAX_IN_BACKOFF
+                    simulation.max_requests_in_backoff(),
+                    MAX_REQUESTS_IN_BACKOFF,
                 )
 
     def test_target_is_used_again_after_its_backoff(self):
