--- a/hillthread/state/routing/__init__.py
+++ b/hillthread/state/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Routing: prompts, load, cached prefixes, and the choice of a target."""
+"""Routing: prompt prefixes, load, cache contents, choice of a target."""
--- a/hillthread/state/routing/attempt_plan.py
+++ b/hillthread/state/routing/attempt_plan.py
@@ -1,4 +1,4 @@
-"""What one attempt of the gateway asks of a target."""
+"""The request that one attempt of the gateway sends to a target."""
 
 from __future__ import annotations
 
@@ -10,23 +10,25 @@
 
 
 class AttemptPlan(NamedTuple):
-    """One attempt, decided but not yet sent.
+    """An attempt that has been decided but not yet sent.
 
     Attributes:
-        target: Where it goes; its name is the incarnation expected.
-        tenant: Whose key the request carries; empty on public routes.
-        seconds_left: Until nobody waits for the answer any more.
+        target: Receives the attempt; its name is the expected incarnation.
+        tenant: Tenant whose key the request carries; empty on public routes.
+        seconds_left: Time until the caller stops waiting for the answer.
         priority: Class of the request, 0 first; None for plain services.
-        model: The model asked for; empty for plain services.
-        weights_version: Weights it must run on; None when not known.
-        organisation: Within which cached prefixes may be shared.
-        fetch_from: Address of a store to take cached prefixes from; empty
+        model: Requested model; empty for plain services.
+        weights_version: Weights the attempt must run on; None when unknown.
+        organisation: Requests of one organisation may share cached prefixes.
+        fetch_from: Address of the store to read cached prefixes from; empty
             for none.
-        save_to: Address of a store to keep what was computed; empty for none.
-        last_event_id: Of the last event relayed, when a stream goes on.
-        start_by: Seconds on the clock; an answer that has not begun by
-            then would begin on weights that are too old. None when they are
-            not.
+        save_to: Address of the store to write computed prefixes to; empty
+            for none.
+        last_event_id: Number of the last relayed event when a stream is
+            resumed; None otherwise.
+        start_by: Clock time in seconds by which the answer must begin; later
+            the target's weights would be too old. None when there is no such
+            limit.
     """
 
     target: objects.Target
@@ -43,14 +45,14 @@
 
     @property
     def cache_scope(self) -> str:
-        """Within which cached prefixes are found again.
+        """Scope within which cached prefixes are looked up.
 
-        It holds the weights version, so that nothing computed with other
-        weights is ever found, on a target or in a store.
+        It contains the weights version, so that no target or store returns a
+        prefix that was computed with other weights.
         """
         return cache_scope(self.organisation, self.model, self.weights_version)
 
 
 def cache_scope(organisation: str, model: str, version: int | None) -> str:
-    """Returns within which prefixes computed for a request are found again."""
+    """Returns the scope in which the prefixes of a request are cached."""
     return f"{organisation}/{model}/{version}"
--- a/hillthread/state/routing/cache_contents.py
+++ b/hillthread/state/routing/cache_contents.py
@@ -1,4 +1,4 @@
-"""What a cache holds, as far as its events tell."""
+"""Contents of a prefix cache, followed through its change events."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 
 __all__ = ["CacheContents", "CacheEvent", "CachedPart"]
 
-# Memory goes by blocks of 16 tokens: the last one of a part may be missing.
+# Caches store blocks of 16 tokens; the last, incomplete block of a part may be
+# missing.
 _BLOCK_TOKENS = 16
-# Calls in a row that were not answered.
-_LOST_AFTER = 2
+# Consecutive unanswered calls after which a cache counts as unreachable.
+_UNREACHABLE_AFTER_CALLS = 2
 
 
 class CachedPart(NamedTuple):
-    """Names a part of a prompt in a cache.
+    """Identifies a part of a prompt in a cache.
 
     Attributes:
-        scope: Within which it is found; holds organisation and weights.
-        digest: Names its text.
+        scope: Scope of the lookup; names organisation, model and weights.
+        digest: Digest of the text.
     """
 
     scope: str
@@ -26,11 +27,11 @@
 
 
 class CacheEvent(NamedTuple):
-    """A change of a cache.
+    """A change of one part in a cache.
 
     Attributes:
-        part: What changed.
-        tokens: Tokens of it that are kept now.
+        part: The changed part.
+        tokens: Tokens of the part that are cached now; 0 when it was evicted.
     """
 
     part: CachedPart
@@ -38,15 +39,17 @@
 
 
 class CacheContents:
-    """What one cache holds.
+    """Believed contents of one cache.
 
-    Events come late and a few never: a belief may be wrong either way.
+    Events arrive late, and a few never arrive, so a part may be listed though
+    it was evicted, or cached though it is not listed.
 
     Attributes:
-        epoch: Of the cache's process; another one has lost everything.
-        position: Of the next event wanted.
-        known: Whether events have been read since the start or the last gap.
-        reachable: Whether the cache answers.
+        epoch: Identifies the cache's process; a new process starts empty.
+        position: Position of the next event to read.
+        is_known: Whether events have been read since the start or the last
+            reset.
+        is_answering: Whether the cache answers calls.
     """
 
     def __init__(self):
@@ -65,17 +68,17 @@
         epoch: int,
         position: int,
         events: Iterable[CacheEvent],
-        lost: bool,
+        has_gap: bool,
     ) -> None:
-        """Takes in a page of events.
+        """Applies a page of events.
 
         Args:
-            epoch: Of the cache's process.
-            position: Of the next event.
-            events: In order.
-            lost: Events before these are missing.
+            epoch: Epoch of the cache's process.
+            position: Position of the event after this page.
+            events: The events, in order.
+            has_gap: Whether events before this page are missing.
         """
-        if epoch != self.epoch or lost:
+        if epoch != self.epoch or has_gap:
             self._tokens.clear()
         self.epoch = epoch
         self.position = position
@@ -88,23 +91,23 @@
                 self._tokens.pop(event.part, None)
 
     def note_answer(self) -> None:
-        """Notes that the cache answered, if only that it is busy."""
+        """Records that the cache answered, even if only that it is busy."""
         self.is_answering = True
         self._failures = 0
 
     def note_failure(self) -> None:
-        """Notes that the cache did not answer; one call may be lost."""
+        """Records an unanswered call; a single one may be lost by chance."""
         self._failures += 1
-        if self._failures >= _LOST_AFTER:
+        if self._failures >= _UNREACHABLE_AFTER_CALLS:
             self.is_answering = False
 
     def reset(self) -> None:
-        """Notes that the cache cannot be asked any more."""
+        """Drops all contents, because the cache can no longer be read."""
         self.is_known = False
         self._tokens.clear()
         self.position = 0
         self.epoch = None
 
     def holds(self, part: CachedPart, tokens: int) -> bool:
-        """Returns whether a part is believed to be held whole."""
+        """Returns whether a part is believed to be cached completely."""
         return self._tokens.get(part, 0) > tokens - _BLOCK_TOKENS
--- a/hillthread/state/routing/decision.py
+++ b/hillthread/state/routing/decision.py
@@ -1,9 +1,10 @@
-"""The decision: one cost for each eligible target, and why it was chosen.
+"""Scores the eligible targets of a request and chooses the cheapest one.
 
-The cost is the expected time to first token (queue ahead and prefill of what
-is not warm) plus the policy's weight times the recomputation it causes. Where
-nothing is known of a target, its rendezvous rank stands for warmth, because
-other routers place the prefix in the same order.
+The cost is the expected time to first token (wait in the queue and prefill of
+the uncached tokens) plus the policy's weight times the recomputation that the
+choice causes. For a target whose cache is unknown, the rendezvous rank serves
+as an estimate of warmth, because other routers place the prefix by the same
+ranking.
 """
 
 from __future__ import annotations
@@ -28,15 +29,17 @@
     "decide",
 ]
 
-# How far the second in rank is trusted to hold a prefix, against the first.
+# Probability that the second-ranked target holds a prefix, as a share of the
+# first-ranked target's.
 _SECOND_RANK_SHARE = 0.5
-# Seconds for each rank: less than any real difference, so it breaks ties only.
+# Cost of each rank. It is below any real difference in cost, so that it only
+# breaks ties.
 _RANK_COST_S = 0.002
-# Seconds for a target with twice the requests it has places for; assumed.
-_CROWDED_COST_S = 1.0
-# From this part of the shared prefix on, the reason is told as warmth.
-_SHARE_CALLED_WARM = 0.5
-# Shorter prefixes cost too little to be placed by rank.
+# Assumed wait at a target that has twice as many requests as it can run.
+_OVERLOAD_COST_S = 1.0
+# From this share of the shared prefix on, the reason is given as warmth.
+_MIN_WARM_SHARE = 0.5
+# Recomputing a shorter prefix costs too little to place it by rank.
 _MIN_SHARED_TOKENS = 64
 
 
@@ -55,7 +58,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why the chosen target won."""
+    """Why a target was chosen."""
 
     WARM = "warm"
     PENDING = "pending"
@@ -65,16 +68,17 @@
 
 
 class Query(NamedTuple):
-    """What is asked of the decision.
+    """Input of a decision.
 
     Attributes:
         levels: Prefix levels of the prompt, the shortest first; empty for
             requests to plain services.
         prompt_tokens: Estimated length of the whole prompt.
-        recompute_weight: From the policy.
-        affinity: Key that all routers share for this prefix.
-        prior: Probability that the first target by rendezvous holds a prefix
-            this router knows nothing of, learned from answers.
+        recompute_weight: Weight of recomputed tokens, from the policy.
+        affinity: Key that all routers derive from this prefix.
+        prior_probability: Probability that the first-ranked target holds a
+            prefix of which this router has no information; learned from
+            answers.
     """
 
     levels: tuple[prompt.PrefixLevel, ...]
@@ -85,13 +89,13 @@
 
 
 class Candidate(NamedTuple):
-    """One target with what is known of it, or why it is excluded.
+    """A target with its known state, or the reason for its exclusion.
 
     Attributes:
-        name: The target's name.
-        max_running: Requests it runs at once.
-        load: Its load.
-        warmth: Its believed cache content.
+        name: Name of the target.
+        max_running: Number of requests that it runs at once.
+        load: Load of the target.
+        warmth: Believed contents of its cache.
         exclusion: Why it is not eligible, or None.
     """
 
@@ -103,25 +107,25 @@
 
 
 class Score(NamedTuple):
-    """The parts of one target's cost, kept for explanations.
+    """The parts of one target's cost, kept to explain the decision.
 
     Attributes:
-        target: The target's name.
-        exclusion: Why it was not eligible, or None; the rest is then 0.
-        cost_s: The weighed sum, seconds.
-        queue_s: Expected wait behind queued prefill, seconds.
-        prefill_s: Expected time to compute what is not warm, seconds.
-        recompute_s: The recomputation caused, weighted, seconds.
-        warm_tokens: Tokens believed cached.
-        warm_probability: That they still are.
-        warm_age_s: Age of that belief, seconds.
-        pending: The prefix is being computed there now.
+        target: Name of the target.
+        exclusion: Why it was not eligible, or None; its costs are then 0.
+        cost_s: Weighted sum, in seconds.
+        queue_s: Expected wait behind queued prefill, in seconds.
+        prefill_s: Expected time to compute the uncached tokens, in seconds.
+        recompute_s: Weighted cost of the recomputation, in seconds.
+        warm_tokens: Length of the prefix that is believed cached.
+        warm_probability: Probability that it is still cached.
+        warm_age_s: Age of that belief, in seconds.
+        pending: Whether the prefix is being computed there now.
         rank: Rendezvous rank, 0 first.
-        report_age_s: Age of the load report, seconds; -1 without one.
-        inflight: The router's own unfinished attempts there.
-        incarnation: The engine incarnation the belief holds for, or empty.
-        weights_version: The weights version it holds for, or empty.
-        prior_tokens: Tokens expected only because of the rank.
+        report_age_s: Age of the load report, in seconds; -1 without one.
+        inflight: This router's unfinished attempts on the target.
+        incarnation: Engine incarnation of the belief, or empty.
+        weights_version: Weights version of the belief, or empty.
+        prior_tokens: Tokens that are assumed cached because of the rank.
     """
 
     target: str
@@ -143,14 +147,15 @@
 
 
 class Decision(NamedTuple):
-    """The outcome for one attempt.
+    """Result of a decision for one attempt.
 
     Attributes:
         target: The chosen target, or None when no target is eligible.
-        reason: Why it won, or None.
-        scores: All candidates in the order of cost, the excluded ones last.
+        reason: Why it was chosen, or None.
+        scores: Scores of all candidates, the cheapest first and the excluded
+            ones last.
         expected_prefill: Tokens the chosen target is expected to compute.
-        queued_tokens: Prefill tokens ahead on the chosen target.
+        queued_tokens: Prefill tokens queued on the chosen target.
     """
 
     target: str | None
@@ -166,12 +171,12 @@
 def decide(
     query: Query, candidates: Sequence[Candidate], now: float
 ) -> Decision:
-    """Returns the eligible candidate of least cost.
+    """Chooses the eligible candidate with the lowest cost.
 
     Args:
-        query: What is asked.
-        candidates: All targets of the route's pools, excluded ones too.
-        now: Seconds, on the clock of the load reports.
+        query: The request to place.
+        candidates: All targets of the route's pools, including excluded ones.
+        now: Current time in seconds, on the clock of the load reports.
     """
     eligible = [each for each in candidates if each.exclusion is None]
     excluded = [
@@ -185,27 +190,31 @@
         query.affinity, [each.name for each in eligible]
     )
     ranks = {name: rank for rank, name in enumerate(order)}
-    scored = [_score(query, each, ranks[each.name], now) for each in eligible]
+    scored = [
+        _compute_score(query, each, ranks[each.name], now) for each in eligible
+    ]
     scored.sort(key=lambda score: (score.cost_s, score.rank))
     best = scored[0]
     chosen = next(each for each in eligible if each.name == best.target)
     return Decision(
         best.target,
-        _reason(query, scored),
+        _find_reason(query, scored),
         tuple(scored + excluded),
         best.prefill_s * chosen.load.prefill_tokens_per_s,
         best.queue_s * chosen.load.prefill_tokens_per_s,
     )
 
 
-def _score(query: Query, candidate: Candidate, rank: int, now: float) -> Score:
+def _compute_score(
+    query: Query, candidate: Candidate, rank: int, now: float
+) -> Score:
     state = candidate.load
     warm = candidate.warmth.lookup(query.levels, now)
-    prior_tokens = _prior_tokens(query, candidate, rank)
+    prior_tokens = _compute_prior_tokens(query, candidate, rank)
     cached = max(warm.expected_tokens, prior_tokens)
     missing = max(0.0, query.prompt_tokens - cached)
     queue_s = state.queued_tokens(now) / state.prefill_tokens_per_s
-    queue_s += _crowding_s(candidate)
+    queue_s += _compute_overload_s(candidate)
     prefill_s = missing / state.prefill_tokens_per_s
     recompute_s = query.recompute_weight * prefill_s
     report = state.report
@@ -230,8 +239,10 @@
     )
 
 
-def _prior_tokens(query: Query, candidate: Candidate, rank: int) -> float:
-    """Returns tokens assumed warm because other routers place them here."""
+def _compute_prior_tokens(
+    query: Query, candidate: Candidate, rank: int
+) -> float:
+    """Returns the tokens assumed cached because of the target's rank."""
     if rank > 1 or len(query.levels) < 2:
         return 0.0
     shared = query.levels[-2]
@@ -241,21 +252,21 @@
     return shared.tokens * query.prior_probability * share
 
 
-def _crowding_s(candidate: Candidate) -> float:
-    """Returns the wait for a free place once all places are taken."""
+def _compute_overload_s(candidate: Candidate) -> float:
+    """Returns the expected wait at a target that runs its maximum."""
     over = candidate.load.count_requests() + 1 - candidate.max_running
     if over <= 0:
         return 0.0
-    return over / candidate.max_running * _CROWDED_COST_S
+    return over / candidate.max_running * _OVERLOAD_COST_S
 
 
-def _reason(query: Query, scored: Sequence[Score]) -> Reason:
+def _find_reason(query: Query, scored: Sequence[Score]) -> Reason:
     best = scored[0]
     if len(scored) == 1:
         return Reason.ONLY_CANDIDATE
     shared = query.levels[-2].tokens if len(query.levels) > 1 else 0
     warm = best.warm_tokens * best.warm_probability
-    if shared and warm >= shared * _SHARE_CALLED_WARM:
+    if shared and warm >= shared * _MIN_WARM_SHARE:
         return Reason.PENDING if best.pending else Reason.WARM
     if best.rank == 0:
         return Reason.RENDEZVOUS
--- a/hillthread/state/routing/first_byte.py
+++ b/hillthread/state/routing/first_byte.py
@@ -1,7 +1,7 @@
-"""When an engine is expected to begin its answer to a prompt.
+"""Estimates when an engine begins its answer to a prompt.
 
-Three things take time: the prompts that wait there already, the parts of this
-one that come from a store of KV cache, and those that the engine has to read.
+The estimate adds the prefill of the prompts queued before it, the transfer of
+cached parts from a KV cache store, and the prefill of all other parts.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 
 class PromptNeeds(NamedTuple):
-    """What a prompt asks of one engine.
+    """Work that a prompt causes on one engine.
 
     Attributes:
-        shared_tokens: Of the parts that other prompts share.
-        own_tokens: Of the part that is its own.
-        kept_tokens: Of the shared parts, kept by the engine.
-        fetch_tokens_per_s: How fast the others come from a store of KV cache;
-            0 when none has them.
+        shared_tokens: Tokens in parts shared with other prompts.
+        unshared_tokens: Tokens in the part that only this prompt has.
+        cached_tokens: Tokens of the shared parts that the engine has cached.
+        fetch_tokens_per_s: Rate at which a KV cache store delivers the other
+            shared tokens; 0 when no store has them.
     """
 
     shared_tokens: int
@@ -29,14 +29,16 @@
 
 
 class Estimate(NamedTuple):
-    """The expected time to the first byte, by what takes it.
+    """Parts of the expected time to the first byte.
 
     Attributes:
-        queue_s: Until what waits there is read.
-        fetch_s: To fetch shared parts.
-        read_s: To read what is neither kept nor fetched.
-        read_tokens: How many tokens that are.
-        missing_tokens: Of the shared parts, not kept by the engine.
+        queue_s: Prefill of the queued prompts, in seconds.
+        fetch_s: Transfer of shared parts from a store, in seconds.
+        prefill_s: Prefill of the parts that are neither cached nor fetched,
+            in seconds.
+        prefill_tokens: Tokens of those parts.
+        missing_tokens: Tokens of the shared parts that the engine has not
+            cached.
     """
 
     queue_s: float
@@ -47,30 +49,30 @@
 
     @property
     def total_s(self) -> float:
-        """Seconds to the first byte."""
+        """Total time to the first byte, in seconds."""
         return self.queue_s + self.fetch_s + self.prefill_s
 
 
 def estimate(
-    needs: PromptNeeds, queued_tokens: float, read_tokens_per_s: float
+    needs: PromptNeeds, queued_tokens: float, prefill_tokens_per_s: float
 ) -> Estimate:
     """Returns the expected time to the first byte.
 
     Args:
-        needs: What the prompt asks of the engine.
-        queued_tokens: To be read there before it.
-        read_tokens_per_s: How fast the engine reads.
+        needs: Work that the prompt causes on the engine.
+        queued_tokens: Prefill tokens queued before the prompt.
+        prefill_tokens_per_s: Prefill rate of the engine.
     """
     missing = needs.shared_tokens - needs.cached_tokens
-    read = needs.unshared_tokens + missing
+    computed_tokens = needs.unshared_tokens + missing
     fetch_s = 0.0
-    if missing and needs.fetch_tokens_per_s > read_tokens_per_s:
-        read = needs.unshared_tokens
+    if missing and needs.fetch_tokens_per_s > prefill_tokens_per_s:
+        computed_tokens = needs.unshared_tokens
         fetch_s = missing / needs.fetch_tokens_per_s
     return Estimate(
-        queued_tokens / read_tokens_per_s,
+        queued_tokens / prefill_tokens_per_s,
         fetch_s,
-        read / read_tokens_per_s,
-        read,
+        computed_tokens / prefill_tokens_per_s,
+        computed_tokens,
         missing,
     )
--- a/hillthread/state/routing/load.py
+++ b/hillthread/state/routing/load.py
@@ -1,4 +1,8 @@
-"""How busy each target is: its lagging report and our own work since."""
+"""Load of a target, estimated from its reports and from routed requests.
+
+A target's report lags, so the router adds the prefill that it has sent itself
+and the prefill that other routers have announced.
+"""
 
 from __future__ import annotations
 
@@ -6,28 +10,28 @@
 
 __all__ = ["LoadReport", "LocalPrefill", "TargetLoad"]
 
-# Weight of a new measurement in the learned prefill rate.
-_RATE_STEP = 0.1
-# Weight of a new request in the mean prefill of a request.
-_MEAN_STEP = 0.05
-# At most this part of the first waiting prefill counts as done before its first
-# token shows it.
-_HEAD_SHARE = 0.7
-# The learned rate stays within this factor of the configured one.
-_RATE_RANGE = 4.0
-# Shorter prefills take too little time to measure a rate by.
-_MIN_WORK_TOKENS = 256
+# Weight of a new sample in the moving average of the prefill rate.
+_RATE_STEP_SHARE = 0.1
+# Weight of a new request in the moving average of the prefill per request.
+_MEAN_STEP_SHARE = 0.05
+# The first prefill in the queue counts as at most this far done until its first
+# token arrives.
+_MAX_HEAD_DONE_SHARE = 0.7
+# The learned rate stays within this factor of the initial one, up and down.
+_RATE_RANGE_FACTOR = 4.0
+# Shorter prefills take too little time for a sample of the rate.
+_MIN_MEASURED_TOKENS = 256
 
 
 class LoadReport(NamedTuple):
-    """What a target said of its load.
+    """Load as reported by a target.
 
     Attributes:
-        taken_at: Seconds, on the reader's clock, when it was read.
+        taken_at: Time of the reading in seconds, on the reader's clock.
         running: Requests being computed.
         waiting: Requests queued in the engine.
         inserted_tokens: Tokens put into the cache since the engine started.
-        cache_tokens: Size of its prefix cache, 0 when not told.
+        cache_tokens: Size of the prefix cache; 0 when not reported.
     """
 
     taken_at: float
@@ -38,11 +42,11 @@
 
 
 class LocalPrefill(NamedTuple):
-    """One attempt of ours that the target has not finished.
+    """Prefill of an attempt that this router has sent.
 
     Attributes:
-        sent_at: Seconds.
-        prefill_tokens: Its own expected uncached tokens.
+        sent_at: Time of sending, in seconds.
+        prefill_tokens: Expected uncached tokens of the attempt.
     """
 
     sent_at: float
@@ -50,10 +54,10 @@
 
 
 class PeerPrefill(NamedTuple):
-    """Prefill that another router has sent.
+    """Prefill of an attempt that another router has sent.
 
     Attributes:
-        done_at: Seconds, when it is expected to be done.
+        done_at: Expected time of completion, in seconds.
         tokens: Expected uncached tokens.
     """
 
@@ -62,11 +66,19 @@
 
 
 class TargetLoad:
-    """The load of one target as one router sees it.
+    """Load of one target as estimated by one router.
 
     Attributes:
+        initial_prefill_tokens_per_s: Prefill rate assumed at the start.
+        prefill_tokens_per_s: Prefill rate learned from first-token times.
         report: The last report, or None.
-        prefill_rate: Tokens a second, learned from first-token times.
+        awaiting_first_token: This router's attempts in prefill, in the order
+            of sending.
+        streaming: This router's attempts that have produced a first token.
+        inflight_at_report: This router's unfinished attempts at the time of
+            the last report.
+        mean_prefill_tokens: Moving average of the prefill per request.
+        peer_prefills: Prefills that other routers have announced.
     """
 
     def __init__(self, prefill_tokens_per_s: float):
@@ -78,109 +90,113 @@
         self.inflight_at_report = 0
         self.mean_prefill_tokens = 0.0
         self.peer_prefills: list[PeerPrefill] = []
-        self._head_since = 0.0
+        self._head_started_at = 0.0
 
     @property
     def inflight(self) -> int:
-        """Our own unfinished attempts."""
+        """Number of this router's unfinished attempts."""
         return len(self.awaiting_first_token) + len(self.streaming)
 
-    def start(self, attempt_id: str, work: LocalPrefill) -> None:
-        """Notes an attempt that is about to be sent."""
+    def start(self, attempt_id: str, prefill: LocalPrefill) -> None:
+        """Adds an attempt that is about to be sent."""
         if not self.awaiting_first_token:
-            self._head_since = work.sent_at
-        self.awaiting_first_token[attempt_id] = work
+            self._head_started_at = prefill.sent_at
+        self.awaiting_first_token[attempt_id] = prefill
 
     def note_first_token(self, attempt_id: str, now: float) -> None:
-        """Notes that an attempt's prefill is done."""
+        """Records that the prefill of an attempt is done."""
         if self.awaiting_first_token.pop(attempt_id, None) is not None:
             self.streaming.add(attempt_id)
-            self._head_since = now
+            self._head_started_at = now
 
     def learn_prefill_rate(self, computed_tokens: int, seconds: float) -> None:
-        """Learns the prefill rate from a request that had no queue ahead.
+        """Updates the prefill rate from a request that did not queue.
 
         Args:
             computed_tokens: Prompt tokens that were not cached.
-            seconds: From sending it to its first token.
+            seconds: Time from sending the request to its first token.
         """
-        if computed_tokens < _MIN_WORK_TOKENS or seconds <= 0:
+        if computed_tokens < _MIN_MEASURED_TOKENS or seconds <= 0:
             return
         measured = computed_tokens / seconds
-        low = self.initial_prefill_tokens_per_s / _RATE_RANGE
-        high = self.initial_prefill_tokens_per_s * _RATE_RANGE
+        low = self.initial_prefill_tokens_per_s / _RATE_RANGE_FACTOR
+        high = self.initial_prefill_tokens_per_s * _RATE_RANGE_FACTOR
         measured = min(high, max(low, measured))
-        self.prefill_tokens_per_s += _RATE_STEP * (
+        self.prefill_tokens_per_s += _RATE_STEP_SHARE * (
             measured - self.prefill_tokens_per_s
         )
 
     def learn_mean_prefill(self, computed_tokens: int) -> None:
-        """Learns how much prefill a request of the others may be."""
-        step = _MEAN_STEP * (computed_tokens - self.mean_prefill_tokens)
+        """Updates the mean prefill, which is assumed for others' requests."""
+        step = _MEAN_STEP_SHARE * (computed_tokens - self.mean_prefill_tokens)
         self.mean_prefill_tokens += step
 
     def finish(self, attempt_id: str) -> None:
-        """Notes that an attempt has ended in any way."""
+        """Removes an attempt that has ended, whatever its outcome."""
         self.awaiting_first_token.pop(attempt_id, None)
         self.streaming.discard(attempt_id)
 
     def update(self, report: LoadReport) -> None:
-        """Takes in a load report."""
+        """Stores a load report."""
         self.report = report
         self.inflight_at_report = self.inflight
 
     def add_peer_prefill(self, tokens: float, now: float) -> None:
-        """Notes prefill that another router has sent to the target."""
-        self._expire_peers(now)
+        """Adds prefill that another router has sent to the target."""
+        self._expire_peer_prefills(now)
         ahead = self.local_prefill_tokens(now) + self.peer_prefill_tokens()
         done_at = now + (ahead + tokens) / self.prefill_tokens_per_s
         self.peer_prefills.append(PeerPrefill(done_at, tokens))
 
     def local_prefill_tokens(self, now: float) -> float:
-        """Returns our own prefill still to be computed.
+        """Returns this router's prefill tokens that are still to be computed.
 
-        The first in line is being computed since the one before it was done.
+        The first attempt in the queue counts as computing since the one before
+        it was done.
         """
         total = sum(
-            work.prefill_tokens for work in self.awaiting_first_token.values()
+            prefill.prefill_tokens
+            for prefill in self.awaiting_first_token.values()
         )
         head = next(iter(self.awaiting_first_token.values()), None)
         if head is None:
             return 0.0
-        done = max(0.0, now - self._head_since) * self.prefill_tokens_per_s
-        return total - min(done, head.prefill_tokens * _HEAD_SHARE)
+        done = max(0.0, now - self._head_started_at) * self.prefill_tokens_per_s
+        return total - min(done, head.prefill_tokens * _MAX_HEAD_DONE_SHARE)
 
     def peer_prefill_tokens(self) -> float:
-        """Returns the prefill of other routers, as far as they told."""
-        return sum(work.tokens for work in self.peer_prefills)
+        """Returns the prefill tokens that other routers have announced."""
+        return sum(prefill.tokens for prefill in self.peer_prefills)
 
     def queued_tokens(self, now: float) -> float:
-        """Returns prefill tokens ahead of a request sent now.
+        """Returns the prefill tokens queued before a request sent now.
 
-        What other routers tell comes sooner than the target's report, which
-        lags; the larger of the two is taken.
+        For the requests of other routers the larger of two figures counts:
+        their announcements, or the target's report, which lags behind these.
         """
-        self._expire_peers(now)
-        reported = self._others_waiting() * self.mean_prefill_tokens
+        self._expire_peer_prefills(now)
+        reported = self._count_peer_waiting() * self.mean_prefill_tokens
         return self.local_prefill_tokens(now) + max(
             self.peer_prefill_tokens(), reported
         )
 
     def count_requests(self) -> int:
-        """Returns requests on the target, ours and others'."""
+        """Returns the number of requests of all routers on the target."""
         if self.report is None:
             return self.inflight
         reported = self.report.running + self.report.waiting
         return self.inflight + max(0, reported - self.inflight_at_report)
 
-    def _expire_peers(self, now: float) -> None:
-        """Drops what is done, also behind work that was to take longer."""
-        if any(work.done_at <= now for work in self.peer_prefills):
+    def _expire_peer_prefills(self, now: float) -> None:
+        """Removes all completed prefills, wherever they are in the list."""
+        if any(prefill.done_at <= now for prefill in self.peer_prefills):
             self.peer_prefills = [
-                work for work in self.peer_prefills if work.done_at > now
+                prefill
+                for prefill in self.peer_prefills
+                if prefill.done_at > now
             ]
 
-    def _others_waiting(self) -> int:
+    def _count_peer_waiting(self) -> int:
         if self.report is None:
             return 0
         return max(0, self.report.waiting - len(self.awaiting_first_token))
--- a/hillthread/state/routing/placement.py
+++ b/hillthread/state/routing/placement.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: hosts agree on an order of names without talking."""
+"""Rendezvous hashing: all hosts rank names alike without communication."""
 
 from __future__ import annotations
 
--- a/hillthread/state/routing/records.py
+++ b/hillthread/state/routing/records.py
@@ -1,4 +1,4 @@
-"""Decision records: made when a decision is made, kept in bounded memory."""
+"""Records of requests and their routing decisions, in bounded memory."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     "trim_decision",
 ]
 
-# Scores kept of a decision; see `trim_decision`.
+# Scores kept of a decision, see `trim_decision`.
 _MAX_SCORES = 8
 
 
 class AttemptState(enum.StrEnum):
-    """How far an attempt got, as far as the router can prove."""
+    """Progress of an attempt, as far as the router has proof of it."""
 
     UNSENT = "unsent"
     SENT = "sent"
@@ -39,19 +39,20 @@
     """One attempt at one target.
 
     Attributes:
-        attempt_id: Echoed by the target.
-        decision: Why this target; scores beyond the best are only counted.
-        started_s: Seconds from the request's arrival.
-        state: How far it got.
-        first_token_s: Seconds from the arrival, or None.
-        ended_s: Seconds from the arrival, or None while it runs.
+        attempt_id: Identifies the attempt; echoed by the target.
+        decision: The decision for this target, with its best scores only.
+        started_s: Start, in seconds from the request's arrival.
+        state: Progress of the attempt.
+        first_token_s: First token, in seconds from the arrival, or None.
+        ended_s: End, in seconds from the arrival, or None while it runs.
         predicted_cached: Tokens that were expected in the target's cache.
-        cached_tokens: Tokens the engine said it found, or None.
-        prompt_tokens: The prompt's length as the engine told it, or 0.
-        completion_tokens: The answer's length as the engine told it, or 0.
-        incarnation: What the answer said it ran on.
-        weights_version: What the answer said it ran with.
-        failure: Why it ended without a whole answer, or empty.
+        cached_tokens: Tokens that the engine reported as cached, or None.
+        prompt_tokens: Length of the prompt as reported by the engine, or 0.
+        completion_tokens: Length of the answer as reported by the engine,
+            or 0.
+        incarnation: Incarnation named in the answer.
+        weights_version: Weights version named in the answer.
+        failure: Why the attempt ended without a complete answer, or empty.
     """
 
     attempt_id: str
@@ -71,27 +72,27 @@
 
 @dataclasses.dataclass(slots=True)
 class RequestRecord:
-    """All that is known of one request.
+    """One request with all its attempts.
 
     Attributes:
-        request_id: Unique; told to the caller.
-        received_at: Seconds since 1970.
-        host: The host that decided.
-        tenant: Who asked.
-        path: The request's path.
-        model: The model asked for, or empty.
-        route: The route that matched, or empty.
-        policy: The policy that applied, or empty.
-        position: Configuration position the decision was made under.
-        prompt_tokens: Estimated length.
+        request_id: Unique identifier; returned to the caller.
+        received_at: Time of arrival, in seconds since 1970.
+        host: Host that routed the request.
+        tenant: Tenant that sent the request.
+        path: Path of the request.
+        model: Requested model, or empty.
+        route: Route that matched, or empty.
+        policy: Policy that applied, or empty.
+        position: Configuration position that the decision was based on.
+        prompt_tokens: Estimated length of the prompt.
         level_tokens: Estimated tokens at each prefix level.
-        repeatable: Whether it may run more than once.
-        queued_s: Seconds spent waiting for admission.
-        attempts: In order.
+        repeatable: Whether the request may run more than once.
+        queued_s: Time spent waiting for admission, in seconds.
+        attempts: All attempts, in order.
         outcome: `running`, `answered`, `refused`, `broken` or `left`.
-        code: The refusal's code, or empty.
-        run: Whether a target ran it.
-        ended_s: Seconds from arrival to the end, or None.
+        code: Error code of the refusal, or empty.
+        run: Whether a target ran the request.
+        ended_s: End, in seconds from the arrival, or None.
     """
 
     request_id: str
@@ -118,8 +119,8 @@
     """The latest request records.
 
     Attributes:
-        size: Records kept at most.
-        dropped: Records that were made and are no longer kept.
+        size: Maximum number of records.
+        dropped: Number of records that were removed to make room.
     """
 
     def __init__(self, size: int):
@@ -133,14 +134,14 @@
         return len(self._records)
 
     def add(self, record: RequestRecord) -> None:
-        """Keeps a record, dropping the oldest when there is no room."""
+        """Adds a record and removes the oldest one when the store is full."""
         self._records[record.request_id] = record
         if len(self._records) > self.size:
             self._records.popitem(last=False)
             self.dropped += 1
 
     def get(self, request_id: str) -> RequestRecord | None:
-        """Returns the record of a request, or None when it is not kept."""
+        """Returns the record of a request, or None when there is none."""
         return self._records.get(request_id)
 
     def newest(self) -> Iterator[RequestRecord]:
@@ -149,10 +150,10 @@
 
 
 def infer_run_state(attempts: Sequence[AttemptRecord]) -> errors.RunState:
-    """Returns whether a target ran a request, from all its attempts.
+    """Infers from all attempts of a request whether a target ran it.
 
-    It was not run only if every attempt ended unsent or was refused by a
-    target whose refusals are true.
+    The request counts as not run only if every attempt was either unsent or
+    refused by a target whose refusals are truthful.
     """
     states = {attempt.state for attempt in attempts}
     if states & {AttemptState.ANSWERED, AttemptState.ACCEPTED}:
@@ -165,10 +166,10 @@
 def trim_decision(
     decision: decision_lib.Decision,
 ) -> decision_lib.Decision:
-    """Returns `decision` with its best and its excluded candidates only.
+    """Returns `decision` with its best and some of its excluded candidates.
 
-    At 95 targets a data centre the whole list would fill the memory that a
-    host may spend on records.
+    With 95 targets in a data centre, complete lists would exceed the memory
+    that a host may use for records.
     """
     if len(decision.scores) <= _MAX_SCORES:
         return decision
--- a/hillthread/state/routing/target_choice.py
+++ b/hillthread/state/routing/target_choice.py
@@ -1,10 +1,10 @@
-"""Chooses the target of an attempt: where a prompt is warm, or least busy.
+"""Chooses the target of an attempt: a warm engine, or the least busy service.
 
 All hosts rank the targets of a shared prefix alike by rendezvous hashing, so
-that one copy of each prefix lies on one target without any talk. A request
-leaves its first-ranked target only when that one refuses, is ejected, has
-older weights than others, or costs more than fetching or reading the prefix
-elsewhere: because it has much to read, or is in another data centre.
+that each prefix is cached on one target without any communication. A request
+goes to another target only when the first-ranked one refuses, is ejected, has
+outdated weights, or costs more than fetching or computing the prefix
+elsewhere, because of its queue or because it is in another data centre.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Exclusion(enum.StrEnum):
-    """Why a target was not taken though it is listed."""
+    """Why a listed target is not eligible."""
 
     TRIED = "tried"
     REFUSING = "refusing"
@@ -40,16 +40,17 @@
 
 
 class TargetView(NamedTuple):
-    """A target as the choice sees it.
+    """State of a target as input of the choice.
 
     Attributes:
-        name: Its incarnation.
-        data_centre: Where it runs.
-        exclusion: Why it cannot be taken, or None.
+        name: Incarnation of the target.
+        data_centre: Data centre in which it runs.
+        exclusion: Why it is not eligible, or None.
         running: This host's unfinished attempts on it.
-        behind: A start there is on older weights than named, and costs.
-        has_connection: A kept connection is there.
-        expected: Time to the first byte, of engines.
+        behind: Whether a request that starts there would run on outdated
+            weights, so that their cost applies.
+        has_connection: Whether there is an idle connection to it.
+        expected: Expected time to the first byte; None for plain services.
     """
 
     name: str
@@ -62,12 +63,13 @@
 
 
 class Choice(NamedTuple):
-    """The outcome.
+    """Result of the choice.
 
     Attributes:
-        name: The target, or None when none can be taken.
-        rank: Its place in the order of the prefix; 0 is where it is warm.
-        reason: Why it was taken.
+        name: The chosen target, or None when no target is eligible.
+        rank: Its rank for the prefix; 0 is the target that should have the
+            prefix cached.
+        reason: Why the target was chosen.
     """
 
     name: str | None
@@ -76,14 +78,14 @@
 
 
 class EngineCosts(NamedTuple):
-    """What weighs how much in the choice of an engine.
+    """Costs added to the time to the first byte, in equivalent seconds.
 
     Attributes:
-        behind_s: Seconds of first-byte time that old weights are worth.
-        copy_s: The same for each token of a prefix that is not kept where it
-            would be taken, but is likely kept on its first-ranked engine.
-        crossing_s: The same for an engine in another data centre.
-        connecting_s: The same for an engine to which no connection is kept.
+        old_weights_s: Cost of an engine that runs outdated weights.
+        copy_s_per_token: Cost of each prefix token that this engine has not
+            cached, but that the first-ranked one likely has.
+        other_data_centre_s: Cost of an engine in another data centre.
+        new_connection_s: Cost of an engine without an idle connection.
     """
 
     old_weights_s: float
@@ -92,62 +94,62 @@
     new_connection_s: float = 0.0
 
 
-# Engines looked at for one prompt, of those that can be taken: each look takes
-# time, and the copies of a prefix lie on the first ranks.
-_MOST_LOOKED = 8
+# Eligible engines that are examined for a prompt. Each one takes time, and a
+# prefix is cached on the first ranks.
+_MAX_EXAMINED_ENGINES = 8
 
-_NONE = Choice(None, -1, "no target can be taken")
+_NO_CHOICE = Choice(None, -1, "no target can be taken")
 
 
 def choose_engine(
     key: bytes,
     names: Sequence[str],
-    view_of: Callable[[str], TargetView],
-    weights: EngineCosts,
+    get_view: Callable[[str], TargetView],
+    costs: EngineCosts,
     data_centre: str,
 ) -> Choice:
-    """Returns the engine for a prompt: the one that costs least.
+    """Chooses the engine with the lowest cost for a prompt.
 
     Args:
-        key: The same for all requests that share the prefix.
+        key: Key of the prefix, equal for all requests that share it.
         names: All targets of the pool.
-        view_of: Returns a target's view.
-        weights: What weighs how much.
-        data_centre: The host's own.
+        get_view: Returns the state of a target.
+        costs: Costs added to the time to the first byte.
+        data_centre: Data centre of this host.
     """
     best: tuple[float, int, str] | None = None
     first: TargetView | None = None
-    looked = 0
+    examined = 0
     for rank, name in enumerate(placement.rank_by_rendezvous(key, names)):
-        if looked >= _MOST_LOOKED:
+        if examined >= _MAX_EXAMINED_ENGINES:
             break
-        view = view_of(name)
+        view = get_view(name)
         first = first or view
         if view.exclusion is not None or view.expected is None:
             continue
-        looked += 1
-        cost = _engine_cost(view, rank, weights, data_centre)
+        examined += 1
+        cost = _compute_cost_s(view, rank, costs, data_centre)
         if best is None or cost < best[0]:
             best = (cost, rank, name)
     if best is None or first is None:
-        return _NONE
+        return _NO_CHOICE
     _, rank, name = best
-    return Choice(name, rank, "warm" if rank == 0 else _reason(first))
+    return Choice(name, rank, "warm" if rank == 0 else _explain_move(first))
 
 
 def choose_least_busy(
     key: str, views: Sequence[TargetView], data_centre: str
 ) -> Choice:
-    """Returns the target of a plain service.
+    """Chooses the target of a plain service that runs the fewest requests.
 
     Args:
-        key: Spreads equal choices over targets.
+        key: Breaks ties, so that requests spread over equal targets.
         views: All targets of the pool.
-        data_centre: The host's own; targets there are preferred.
+        data_centre: Data centre of this host; targets there are preferred.
     """
-    open_views = [view for view in views if view.exclusion is None]
-    if not open_views:
-        return _NONE
+    eligible = [view for view in views if view.exclusion is None]
+    if not eligible:
+        return _NO_CHOICE
 
     def cost(view: TargetView) -> tuple[int, bool, bool, int]:
         return (
@@ -157,28 +159,28 @@
             -placement.rendezvous_score(key.encode(), view.name),
         )
 
-    return Choice(min(open_views, key=cost).name, 0, "least busy")
+    return Choice(min(eligible, key=cost).name, 0, "least busy")
 
 
-def _engine_cost(
-    view: TargetView, rank: int, weights: EngineCosts, data_centre: str
+def _compute_cost_s(
+    view: TargetView, rank: int, costs: EngineCosts, data_centre: str
 ) -> float:
-    """Returns what an engine costs, in seconds of first-byte time."""
+    """Returns the cost of an engine in equivalent seconds."""
     if view.expected is None:
         return float("inf")
     cost = view.expected.total_s
     if view.behind:
-        cost += weights.old_weights_s
+        cost += costs.old_weights_s
     if rank:
-        cost += view.expected.missing_tokens * weights.copy_s_per_token
+        cost += view.expected.missing_tokens * costs.copy_s_per_token
     if view.data_centre != data_centre:
-        cost += weights.other_data_centre_s
+        cost += costs.other_data_centre_s
     if not view.has_connection:
-        cost += weights.new_connection_s
+        cost += costs.new_connection_s
     return cost
 
 
-def _reason(first: TargetView) -> str:
+def _explain_move(first: TargetView) -> str:
     if first.exclusion is not None:
         return f"first-ranked target {first.exclusion}"
     if first.behind:
--- a/hillthread/state/routing/warmth.py
+++ b/hillthread/state/routing/warmth.py
@@ -1,9 +1,9 @@
-"""What a router believes to be cached on each target.
+"""Models which prefix levels each target has cached.
 
-Warmth is kept for prefix levels under a target's epoch: its incarnation and
-weights version. Another epoch drops everything that was believed. Whether an
-entry is still cached is judged by how many tokens the target has inserted
-since the entry was last used, because engines evict the least recently used.
+The entries of a target are valid for one epoch, that is one incarnation and
+weights version; a new epoch removes them all. Engines evict the least recently
+used entries. The probability that an entry is still cached is therefore
+estimated from the tokens inserted into the cache since its last use.
 """
 
 from __future__ import annotations
@@ -16,25 +16,26 @@
 
 __all__ = ["CacheEpoch", "TargetWarmth", "WarmPrefix", "WarmthTable"]
 
-# Bound on memory; docs/MEASUREMENTS.md has 158 bytes a level.
+# Bounds the memory: a level takes 158 bytes, see docs/MEASUREMENTS.md.
 _MAX_LEVELS_PER_TARGET = 4096
-# A level is surely cached up to this part of the horizon, and surely gone past
-# the second; in between its probability falls evenly.
-_SURE_SHARE = 0.8
-_GONE_SHARE = 1.2
-# Weight of one tested prediction in the horizon.
-_HORIZON_STEP = 0.15
-# A prediction held when this part of its tokens was cached; blocks cut the
-# rest.
+# A level counts as surely cached up to the first share of the eviction horizon
+# and as surely evicted past the second; its probability falls linearly in
+# between.
+_SURELY_CACHED_SHARE = 0.8
+_SURELY_EVICTED_SHARE = 1.2
+# Weight of one verified prediction in the moving average of the horizon.
+_HORIZON_STEP_SHARE = 0.15
+# A prediction counts as correct when this share of its tokens was cached. The
+# rest may lie in an incomplete cache block.
 _HIT_SHARE = 0.9
-# Levels that no answer has confirmed count for half.
+# Factor on the probability of a level that no answer has confirmed.
 _UNCONFIRMED_FACTOR = 0.5
-# A prefix that is being computed now may yet fail to be.
+# Probability of a prefix that is being computed; its request may still fail.
 _PENDING_PROBABILITY = 0.95
 
 
 class CacheEpoch(NamedTuple):
-    """Under which a target's cache is valid.
+    """Identifies the period in which the contents of a cache stay valid.
 
     Attributes:
         incarnation: Changes each time the engine process starts.
@@ -46,14 +47,14 @@
 
 
 class WarmPrefix(NamedTuple):
-    """The longest prefix believed to be cached.
+    """A prefix that is believed to be cached on a target.
 
     Attributes:
-        tokens: Its length.
-        probability: That it is still cached, from 0 to 1.
-        age_s: Seconds since it was last seen or put there.
-        pending: It is being computed by a request not yet answered.
-        distance: Tokens the target has inserted since.
+        tokens: Length of the prefix.
+        probability: Probability that it is still cached, from 0 to 1.
+        age_s: Seconds since it was last confirmed or inserted.
+        pending: Whether an unanswered request is computing it.
+        distance: Tokens that the target has inserted since its last use.
     """
 
     tokens: int
@@ -64,15 +65,23 @@
 
     @property
     def expected_tokens(self) -> float:
-        """Tokens expected to be found in the cache."""
+        """Expected number of cached tokens."""
         return self.tokens * self.probability
 
 
 COLD = WarmPrefix(0, 0.0, 0.0, pending=False)
 
 
-class _Level:
-    """One cached level: when it was last used, in tokens and in seconds."""
+class _LevelEntry:
+    """One prefix level in the cache of a target.
+
+    Attributes:
+        tokens: Length of the prefix.
+        clock: Token clock at its last use; negative until it was computed.
+        seen_at: Time of its last use, in seconds.
+        pending: Number of unanswered requests that are computing it.
+        confirmed: Whether an answer has confirmed it since the last gap.
+    """
 
     __slots__ = ("clock", "confirmed", "pending", "seen_at", "tokens")
 
@@ -85,26 +94,29 @@
 
 
 class TargetWarmth:
-    """The believed cache content of one target.
+    """Levels that one target is believed to have cached.
 
     Attributes:
-        epoch: What the beliefs hold for, or None before the first answer.
-        clock: Tokens inserted into the cache, as far as known.
-        horizon: Inserted tokens after which an unused entry is evicted.
+        epoch: Epoch in which the levels are valid; None before the first
+            answer.
+        clock: Token clock: tokens inserted into the cache so far.
+        eviction_horizon_tokens: Inserted tokens after which an unused level
+            is evicted.
+        levels: The levels by digest, the least recently used first.
     """
 
     def __init__(self, cache_tokens: float):
         self.epoch: CacheEpoch | None = None
         self.clock = 0.0
         self.eviction_horizon_tokens = float(cache_tokens)
-        self.levels: collections.OrderedDict[bytes, _Level] = (
+        self.levels: collections.OrderedDict[bytes, _LevelEntry] = (
             collections.OrderedDict()
         )
 
     def lookup(
         self, levels: Sequence[prompt.PrefixLevel], now: float
     ) -> WarmPrefix:
-        """Returns the prefix with the most expected cached tokens."""
+        """Returns the prefix with the largest expected number of tokens."""
         best = COLD
         for level in reversed(levels):
             if level.tokens <= best.expected_tokens:
@@ -114,7 +126,7 @@
                 continue
             found = WarmPrefix(
                 level.tokens,
-                self._probability(entry),
+                self._estimate_probability(entry),
                 now - entry.seen_at,
                 entry.pending > 0,
                 max(0.0, self.clock - entry.clock),
@@ -126,13 +138,13 @@
     def add_pending(
         self, levels: Sequence[prompt.PrefixLevel], now: float
     ) -> None:
-        """Notes that a request with these levels was sent to the target."""
+        """Marks levels as pending: a request with them was sent."""
         for level in levels:
-            entry = self._entry(level, now)
+            entry = self._get_or_add(level, now)
             entry.pending += 1
 
     def remove_pending(self, levels: Sequence[prompt.PrefixLevel]) -> None:
-        """Ends what `expect` noted, without an answer having come."""
+        """Undoes `add_pending` when the request ended without an answer."""
         for level in levels:
             entry = self.levels.get(level.digest)
             if entry is None or entry.pending == 0:
@@ -142,92 +154,96 @@
                 del self.levels[level.digest]
 
     def confirm(self, levels: Sequence[prompt.PrefixLevel], now: float) -> None:
-        """Notes that a whole prompt is cached now, for it was answered."""
+        """Marks all levels of a prompt as cached, since it was answered."""
         for level in levels:
-            entry = self._entry(level, now)
+            entry = self._get_or_add(level, now)
             entry.clock = self.clock
             entry.seen_at = now
             entry.confirmed = True
-        self._bound()
+        self._drop_oldest()
 
     def add_from_peer(self, level: prompt.PrefixLevel, now: float) -> None:
-        """Notes a level that another router has put into the cache."""
+        """Adds a level that another router's request has put in the cache."""
         self.confirm((level,), now)
 
     def learn_horizon(self, predicted: WarmPrefix, cached_tokens: int) -> None:
-        """Learns how long entries live, from a prediction that was tested.
+        """Updates the eviction horizon from a verified prediction.
 
         Args:
-            predicted: What `lookup` returned before the request was sent.
-            cached_tokens: What the engine found cached.
+            predicted: Result of `lookup` before the request was sent.
+            cached_tokens: Tokens that the engine found in its cache.
         """
         if predicted.tokens == 0 or predicted.pending:
             return
         distance = predicted.distance
         if cached_tokens >= predicted.tokens * _HIT_SHARE:
-            if distance > self.eviction_horizon_tokens * _SURE_SHARE:
-                self.eviction_horizon_tokens += _HORIZON_STEP * distance
+            if distance > self.eviction_horizon_tokens * _SURELY_CACHED_SHARE:
+                self.eviction_horizon_tokens += _HORIZON_STEP_SHARE * distance
         elif distance < self.eviction_horizon_tokens:
-            self.eviction_horizon_tokens += _HORIZON_STEP * (
+            self.eviction_horizon_tokens += _HORIZON_STEP_SHARE * (
                 distance - self.eviction_horizon_tokens
             )
 
     def advance_clock(self, inserted_tokens: float) -> None:
-        """Moves the clock on by tokens newly put into the cache."""
+        """Advances the token clock by newly inserted tokens."""
         self.clock += inserted_tokens
 
     def mark_unconfirmed(self) -> None:
-        """Marks all levels unconfirmed, after a gap in what is known."""
+        """Marks all levels as unconfirmed, after updates were missed."""
         for entry in self.levels.values():
             entry.confirmed = False
 
     def clear(self) -> None:
-        """Forgets all levels, after the target lost or dropped its cache."""
+        """Removes all levels, after the target lost or dropped its cache."""
         self.levels.clear()
 
-    def _bound(self) -> None:
+    def _drop_oldest(self) -> None:
         while len(self.levels) > _MAX_LEVELS_PER_TARGET:
             self.levels.popitem(last=False)
 
-    def _entry(self, level: prompt.PrefixLevel, now: float) -> _Level:
+    def _get_or_add(self, level: prompt.PrefixLevel, now: float) -> _LevelEntry:
         entry = self.levels.get(level.digest)
         if entry is None:
-            entry = _Level(level.tokens, -1.0, now)
+            entry = _LevelEntry(level.tokens, -1.0, now)
             self.levels[level.digest] = entry
         self.levels.move_to_end(level.digest)
         return entry
 
-    def _probability(self, entry: _Level) -> float:
+    def _estimate_probability(self, entry: _LevelEntry) -> float:
         if entry.clock < 0:
             return _PENDING_PROBABILITY if entry.pending else 0.0
-        used = (self.clock - entry.clock) / self.eviction_horizon_tokens
-        alive = (_GONE_SHARE - used) / (_GONE_SHARE - _SURE_SHARE)
-        alive = min(1.0, max(0.0, alive))
+        elapsed_share = (
+            self.clock - entry.clock
+        ) / self.eviction_horizon_tokens
+        cached_probability = (_SURELY_EVICTED_SHARE - elapsed_share) / (
+            _SURELY_EVICTED_SHARE - _SURELY_CACHED_SHARE
+        )
+        cached_probability = min(1.0, max(0.0, cached_probability))
         if not entry.confirmed:
-            alive *= _UNCONFIRMED_FACTOR
+            cached_probability *= _UNCONFIRMED_FACTOR
         if entry.pending:
-            return max(alive, _PENDING_PROBABILITY)
-        return alive
+            return max(cached_probability, _PENDING_PROBABILITY)
+        return cached_probability
 
 
 class WarmthTable:
-    """The believed cache content of all targets."""
+    """Levels that all targets are believed to have cached."""
 
     def __init__(self):
         self.targets: dict[str, TargetWarmth] = {}
 
     def target(self, name: str, cache_tokens: float) -> TargetWarmth:
-        """Returns the beliefs on `name`, made empty when there are none."""
+        """Returns the levels of target `name`; adds it when it is new."""
         found = self.targets.get(name)
         if found is None:
             found = self.targets[name] = TargetWarmth(cache_tokens)
         return found
 
     def enter_epoch(self, name: str, epoch: CacheEpoch) -> bool:
-        """Drops all beliefs on `name` if `epoch` is a new one.
+        """Removes the levels of target `name` if `epoch` is a new one.
 
         Returns:
-            Whether beliefs of another epoch were dropped.
+            Whether levels of another epoch were removed.
         """
         found = self.targets.get(name)
         if found is None or found.epoch == epoch:
@@ -238,11 +254,11 @@
             return False
         found.clear()
         if former.incarnation != epoch.incarnation:
-            # The new process counts what it inserts from zero.
+            # The new process counts inserted tokens from zero.
             found.clock = 0.0
         return True
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forgets all targets but `names`."""
+        """Removes all targets except `names`."""
         for gone in self.targets.keys() - names:
             del self.targets[gone]
--- a/tests/state/routing/test_decision.py
+++ b/tests/state/routing/test_decision.py
@@ -1,4 +1,4 @@
-"""Tests of the decision."""
+"""Tests of routing decisions."""
 
 import unittest
 
@@ -43,11 +43,11 @@
     def test_prior_outweighs_a_short_queue_where_routers_are_silent(self):
         first = decision.decide(query(), self.candidates, 0.0).target
         self.by_name(first).load.start("a", load.LocalPrefill(0.0, 900.0))
-        alone = decision.decide(query(), self.candidates, 0.0)
-        silent = query()._replace(prior_probability=0.7)
-        among = decision.decide(silent, self.candidates, 0.0)
-        self.assertNotEqual(alone.target, first)
-        self.assertEqual(among.target, first)
+        without_prior = decision.decide(query(), self.candidates, 0.0)
+        query_with_prior = query()._replace(prior_probability=0.7)
+        with_prior = decision.decide(query_with_prior, self.candidates, 0.0)
+        self.assertNotEqual(without_prior.target, first)
+        self.assertEqual(with_prior.target, first)
 
     def test_warm_target_wins(self):
         cold = decision.decide(query(), self.candidates, 0.0).target
@@ -62,10 +62,10 @@
         warm.warmth.confirm(LEVELS[:1], 0.0)
         for number in range(2):
             warm.load.start(str(number), load.LocalPrefill(0.0, 2500.0))
-        spread = decision.decide(query(0.0), self.candidates, 0.0)
-        kept = decision.decide(query(5.0), self.candidates, 0.0)
-        self.assertNotEqual(spread.target, warm.name)
-        self.assertEqual(kept.target, warm.name)
+        without_weight = decision.decide(query(0.0), self.candidates, 0.0)
+        with_weight = decision.decide(query(5.0), self.candidates, 0.0)
+        self.assertNotEqual(without_weight.target, warm.name)
+        self.assertEqual(with_weight.target, warm.name)
 
     def test_excluded_targets_are_listed_with_their_reason(self):
         leaving = candidate("t3", exclusion=decision.Exclusion.LEAVING)
--- a/tests/state/routing/test_load.py
+++ b/tests/state/routing/test_load.py
@@ -9,7 +9,7 @@
     def setUp(self):
         self.load = load.TargetLoad(1000.0)
 
-    def test_own_work_counts_before_any_report(self):
+    def test_local_prefill_counts_before_any_report(self):
         self.load.start("a", load.LocalPrefill(0.0, 500.0))
         self.assertEqual(self.load.queued_tokens(0.0), 500.0)
         self.load.note_first_token("a", 0.0)
@@ -18,7 +18,7 @@
         self.load.finish("a")
         self.assertEqual(self.load.inflight, 0)
 
-    def test_the_first_in_line_is_being_computed(self):
+    def test_first_queued_prefill_counts_as_computing(self):
         self.load.start("a", load.LocalPrefill(0.0, 500.0))
         self.load.start("b", load.LocalPrefill(0.1, 300.0))
         self.assertEqual(self.load.queued_tokens(0.2), 600.0)
@@ -26,14 +26,14 @@
         self.load.note_first_token("a", 9.0)
         self.assertAlmostEqual(self.load.queued_tokens(9.1), 200.0)
 
-    def test_peers_work_ends_by_itself(self):
+    def test_peer_prefill_expires_when_it_should_be_done(self):
         self.load.add_peer_prefill(500.0, 0.0)
         self.load.add_peer_prefill(500.0, 0.0)
         self.assertEqual(self.load.queued_tokens(0.4), 1000.0)
         self.assertEqual(self.load.queued_tokens(0.6), 500.0)
         self.assertEqual(self.load.queued_tokens(1.0), 0.0)
 
-    def test_others_requests_are_the_reports_less_our_own(self):
+    def test_requests_of_others_are_reported_ones_minus_local_ones(self):
         self.load.learn_mean_prefill(10_000)
         self.load.start("a", load.LocalPrefill(0.0, 100.0))
         self.load.update(load.LoadReport(0.0, 0, 3, 0.0))
@@ -59,8 +59,8 @@
             self.load.prefill_tokens_per_s, 4000.0, delta=1.0
         )
 
-    def test_peer_work_that_takes_long_holds_up_no_other(self):
-        """What is done goes, though what was told before it is not."""
+    def test_completed_peer_prefill_expires_behind_a_longer_one(self):
+        """Guards against removing prefills only from the front of the list."""
         self.load.start("a", load.LocalPrefill(0.0, 50_000.0))
         self.load.add_peer_prefill(100.0, 0.0)
         self.load.finish("a")
--- a/tests/state/routing/test_load_of_others.py
+++ b/tests/state/routing/test_load_of_others.py
@@ -1,14 +1,14 @@
-"""Load that is spread over many hosts, each of which sends a small part of it.
+"""Tests routing when many hosts send a small part of the load each.
 
-Pattern: eight hosts place long prompts on five engines, two of which are lost.
-An engine reads one prompt after another; a prefix is kept where it was read.
-New weights have just emptied all engines, so that each prefix is read anew:
-queues come and go within a second, and a host's own requests show an eighth.
+Eight hosts place long prompts on the three engines that are left of five. An
+engine computes one prompt after another and caches its prefix. New weights have
+just emptied all caches, so that each prefix is computed anew: queues come and
+go within a second, and a host's own requests are only an eighth of the load.
 
-Grounds of the figures: an engine reads 40.8 tokens in a ms and keeps 104,000;
-84 prefixes of 6,300 tokens, own parts of 2,900 in the mean with a long tail; 12
-requests a second arrive, as on a deployment of 8 hosts, for 10 s. The aim is
-0.6 s. Hosts hear of each other's work at once.
+An engine computes 40.8 tokens per ms and caches 104,000. There are 84 prefixes
+of 6,300 tokens; the unshared parts have 2,900 tokens in the mean with a long
+tail. 12 requests per second arrive for 10 s, as on a deployment of 8 hosts.
+The first byte is due within 0.6 s. Announcements arrive without delay.
 """
 
 import random
@@ -19,97 +19,118 @@
 from hillthread.state.routing import target_choice
 from hillthread.state.targets import target_state
 
-RATE = 40_800.0
-MEMORY = 104_000
-HOSTS = 8
+PREFILL_TOKENS_PER_S = 40_800.0
+MEMORY_TOKENS = 104_000
+HOST_COUNT = 8
 ENGINES = [f"e{n}" for n in range(3)]
-PREFIXES = 84
-SHARED = 6_300
-OWN_MEAN = 2_900
-PER_S = 12.0
-LENGTH_S = 10.0
+PREFIX_COUNT = 84
+SHARED_TOKENS = 6_300
+MEAN_UNSHARED_TOKENS = 2_900
+REQUESTS_PER_S = 12.0
+DURATION_S = 10.0
 AIM_S = 0.6
-WEIGHTS = target_choice.EngineCosts(0.3, 1.0 / 50_000.0, 0.0)
+COSTS = target_choice.EngineCosts(0.3, 1.0 / 50_000.0, 0.0)
 
 
 class _Engine:
-    """An engine that reads prompts in the order in which they came."""
+    """An engine that computes prompts in the order of their arrival."""
 
     def __init__(self):
         self.free_at = 0.0
-        self.kept = set()
+        self.cached = set()
 
-    def read(self, now, prefix, own):
-        """Returns when a prompt sent now is read."""
-        tokens = own + (0 if prefix in self.kept else SHARED)
-        self.kept.add(prefix)
-        self.free_at = max(now, self.free_at) + tokens / RATE
+    def prefill(self, now, prefix, unshared_tokens):
+        """Returns when the prefill of a prompt sent now is done."""
+        tokens = unshared_tokens + (
+            0 if prefix in self.cached else SHARED_TOKENS
+        )
+        self.cached.add(prefix)
+        self.free_at = max(now, self.free_at) + tokens / PREFILL_TOKENS_PER_S
         return self.free_at
 
 
-def _view(states, name, prefix, own, now):
-    """Returns how an engine looks to a host."""
+def _make_view(states, name, prefix, unshared_tokens, now):
+    """Returns a host's view of an engine."""
     state = states[name]
     needs = first_byte.PromptNeeds(
-        SHARED, own, state.warm.count_cached_tokens("", [(prefix, SHARED)]), 0.0
+        SHARED_TOKENS,
+        unshared_tokens,
+        state.warm.count_cached_tokens("", [(prefix, SHARED_TOKENS)]),
+        0.0,
+    )
+    expected = first_byte.estimate(
+        needs, state.load.queued_tokens(now), PREFILL_TOKENS_PER_S
     )
-    expected = first_byte.estimate(needs, state.load.queued_tokens(now), RATE)
     return target_choice.TargetView(name, "", None, 0, False, True, expected)
 
 
-def play(seed, told):
-    """Returns the times to the first byte of all requests of a load.
+def simulate(seed, is_announced):
+    """Returns the times to the first byte of all requests.
 
     Args:
-        seed: Of arrivals, prefixes and sizes.
-        told: Whether hosts hear of each other's work.
+        seed: Determines arrivals, prefixes and sizes.
+        is_announced: Whether hosts announce their prefill to each other.
     """
-    draw = random.Random(seed)
+    rng = random.Random(seed)
     engines = {name: _Engine() for name in ENGINES}
     hosts = [
         {name: target_state.TargetState() for name in ENGINES}
-        for _ in range(HOSTS)
+        for _ in range(HOST_COUNT)
     ]
-    now, number, took, reading = 0.0, 0, [], []
-    while (now := now + draw.expovariate(PER_S)) < LENGTH_S:
+    now, number, delays_s, in_prefill = 0.0, 0, [], []
+    while (now := now + rng.expovariate(REQUESTS_PER_S)) < DURATION_S:
         number += 1
-        for host, name, attempt, done_at in reading:
+        for host, name, attempt, done_at in in_prefill:
             if done_at <= now:
                 host[name].record_first_byte(done_at, attempt, None)
-        reading = [each for each in reading if each[3] > now]
-        own = min(39_600, int(draw.lognormvariate(0.0, 0.8) * OWN_MEAN * 0.73))
-        prefix = str(int(PREFIXES * draw.random() ** 1.3))
-        host = draw.choice(hosts)
+        in_prefill = [each for each in in_prefill if each[3] > now]
+        unshared_tokens = min(
+            39_600,
+            int(rng.lognormvariate(0.0, 0.8) * MEAN_UNSHARED_TOKENS * 0.73),
+        )
+        prefix = str(int(PREFIX_COUNT * rng.random() ** 1.3))
+        host = rng.choice(hosts)
         choice = target_choice.choose_engine(
             prefix.encode(),
             ENGINES,
-            lambda name, h=host, p=prefix, o=own: _view(h, name, p, o, now),
-            WEIGHTS,
+            lambda name, h=host, p=prefix, o=unshared_tokens: _make_view(
+                h, name, p, o, now
+            ),
+            COSTS,
             "",
         )
-        expected = _view(host, choice.name, prefix, own, now).expected
+        expected = _make_view(
+            host, choice.name, prefix, unshared_tokens, now
+        ).expected
         host[choice.name].begin_attempt(
             now, str(number), expected.prefill_tokens
         )
-        for each in hosts if told else [host]:
+        for each in hosts if is_announced else [host]:
             state = each[choice.name]
-            state.warm.add_prompt("", [(prefix, SHARED)], own, MEMORY)
+            state.warm.add_prompt(
+                "", [(prefix, SHARED_TOKENS)], unshared_tokens, MEMORY_TOKENS
+            )
             if each is not host:
                 state.load.add_peer_prefill(expected.prefill_tokens, now)
-        done_at = engines[choice.name].read(now, prefix, own)
-        reading.append((host, choice.name, str(number), done_at))
-        took.append(done_at - now)
-    return took
+        done_at = engines[choice.name].prefill(now, prefix, unshared_tokens)
+        in_prefill.append((host, choice.name, str(number), done_at))
+        delays_s.append(done_at - now)
+    return delays_s
 
 
 class LoadOfOthersTest(unittest.TestCase):
-    def test_requests_are_late_less_often_when_hosts_hear_of_each_other(self):
+    def test_fewer_requests_are_late_when_hosts_announce_prefill(self):
         late = {True: [], False: []}
         for seed in range(12):
-            for told in (True, False):
-                took = play(seed, told)
-                late[told].append(sum(t > AIM_S for t in took) / len(took))
-        blind, seeing = (statistics.mean(late[told]) for told in (False, True))
-        # Seen: 0.091 of the requests late without, 0.028 with.
-        self.assertGreater(blind, 0.05)
-        self.assertLess(seeing, 0.5 * blind)
+            for is_announced in (True, False):
+                delays_s = simulate(seed, is_announced)
+                late[is_announced].append(
+                    sum(t > AIM_S for t in delays_s) / len(delays_s)
+                )
+        late_alone, late_announced = (
+            statistics.mean(late[is_announced])
+            for is_announced in (False, True)
+        )
+        # 0.091 of the requests are late without announcements, 0.028 with.
+        self.assertGreater(late_alone, 0.05)
+        self.assertLess(late_announced, 0.5 * late_alone)
--- a/tests/state/routing/test_prompt.py
+++ b/tests/state/routing/test_prompt.py
@@ -13,7 +13,7 @@
         self.assertNotEqual(first[2].digest, second[2].digest)
         self.assertEqual([level.tokens for level in first], [1, 2, 2])
 
-    def test_organisations_and_models_never_share(self):
+    def test_levels_differ_between_organisations_and_models(self):
         digests = {
             prompt.prefix_levels(organisation, model, ["a"], 1.0)[0].digest
             for organisation in ("o1", "o2")
@@ -21,12 +21,12 @@
         }
         self.assertEqual(len(digests), 4)
 
-    def test_boundaries_count(self):
+    def test_message_boundaries_change_the_digest(self):
         joined = prompt.prefix_levels("o", "m", ["ab"], 1.0)
         split = prompt.prefix_levels("o", "m", ["a", "b"], 1.0)
         self.assertNotEqual(joined[-1].digest, split[-1].digest)
 
-    def test_long_chats_keep_first_and_last_levels(self):
+    def test_long_prompt_keeps_first_and_last_levels(self):
         parts = [str(number) for number in range(40)]
         levels = prompt.prefix_levels("o", "m", parts, 1.0)
         longer = prompt.prefix_levels("o", "m", [*parts, "a", "b"], 1.0)
--- a/tests/state/routing/test_warmth.py
+++ b/tests/state/routing/test_warmth.py
@@ -1,4 +1,4 @@
-"""Tests of what is believed to be cached."""
+"""Tests of the levels that a target is believed to have cached."""
 
 import unittest
 
@@ -27,7 +27,7 @@
         self.assertEqual(found.probability, 1.0)
         self.assertEqual(found.age_s, 2.0)
 
-    def test_new_incarnation_drops_all(self):
+    def test_new_epoch_removes_all_levels(self):
         for epoch in (
             warmth.CacheEpoch("i2", "w1"),
             warmth.CacheEpoch("i2", "w2"),
@@ -36,24 +36,24 @@
             self.assertTrue(self.table.enter_epoch("t", epoch))
             self.assertEqual(self.beliefs.lookup(LEVELS, 2.0).tokens, 0)
 
-    def test_same_epoch_keeps_all(self):
+    def test_same_epoch_keeps_all_levels(self):
         self.assertFalse(self.table.enter_epoch("t", EPOCH))
         self.assertEqual(self.beliefs.lookup(OTHER, 3.0).tokens, 3000)
 
-    def test_inserted_tokens_make_entries_cold(self):
+    def test_inserted_tokens_lower_the_probability(self):
         self.beliefs.advance_clock(9_900)
         doubtful = self.beliefs.lookup(OTHER, 3.0).probability
         self.assertTrue(0 < doubtful < 1)
         self.beliefs.advance_clock(9_900)
         self.assertEqual(self.beliefs.lookup(OTHER, 3.0).probability, 0)
 
-    def test_gap_halves_confidence_until_confirmed(self):
+    def test_gap_lowers_the_probability_until_confirmed(self):
         self.beliefs.mark_unconfirmed()
         self.assertLess(self.beliefs.lookup(OTHER, 3.0).probability, 1.0)
         self.beliefs.confirm(OTHER, 4.0)
         self.assertEqual(self.beliefs.lookup(OTHER, 4.0).probability, 1.0)
 
-    def test_pending_is_warm_and_failure_takes_it_back(self):
+    def test_pending_levels_are_removed_after_a_failure(self):
         cold = self.table.target("u", 10_000)
         cold.add_pending(LEVELS, 1.0)
         self.assertTrue(cold.lookup(OTHER, 1.0).pending)
@@ -71,8 +71,11 @@
         self.beliefs.learn_horizon(predicted, 3_000)
         self.assertGreater(self.beliefs.eviction_horizon_tokens, shortened)
 
-    def test_the_requests_own_end_teaches_nothing(self):
-        """A prompt's last level is never cached before its first request."""
+    def test_last_level_of_a_prompt_does_not_change_the_horizon(self):
+        """Guards against learning from a level that no earlier prompt has.
+
+        The last level of a prompt is never cached before its first request.
+        """
         for _ in range(50):
             predicted = self.beliefs.lookup(OTHER, 2.0)
             self.beliefs.confirm(OTHER, 2.0)
