--- a/hillthread/state/cluster/__init__.py
+++ b/hillthread/state/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts: membership, leases, what they read from the store and each other."""
+"""Cluster state: membership, leases, claims, copies of the store's topics."""
--- a/hillthread/state/cluster/claim_index.py
+++ b/hillthread/state/cluster/claim_index.py
@@ -1,10 +1,11 @@
-"""Claims in log order: the first holder of a key has it, for every reader.
-
-How old a claim is, each reader tells by its own steady clock, from when it read
-it: the clocks of the hosts that append may be wrong by any time, and a claim
-that is forgotten early lets its request run twice. Readers forget a claim at
-different moments. One that still keeps it when another has granted the key anew
-keeps it as long again, so that nobody grants it a second time.
+"""Index of claims in log order: the first request to claim a key holds it.
+
+Each reader measures the age of a claim by its own monotonic clock, from the
+moment it read the claim. The clocks of the appending hosts may be wrong by any
+amount, and a claim that expires too early lets its request run twice. Readers
+expire a claim at different times. If a reader still holds a claim when another
+one has already granted the key anew, it extends the claim by a full window, so
+that no reader grants the key a second time.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True):
-    """One claim.
+    """A request's claim on an idempotency key.
 
     Attributes:
-        digest: Of tenant and key, in hexadecimal.
+        digest: Digest of tenant and key, in hexadecimal.
         holder: The request that wants to run.
     """
 
@@ -36,11 +37,11 @@
     """One record of the claims stream.
 
     Attributes:
-        made_at: Seconds since 1970, by the appending host's clock; for people
-            who read the log, nothing is decided by it.
-        claims: In the order of asking.
-        releases: Claims given back before, since their requests surely did
-            not run; they count before the new claims.
+        made_at: Seconds since 1970, by the appending host's clock. Serves
+            people who read the log; no decision depends on it.
+        claims: New claims, in the order of their requests.
+        releases: Earlier claims whose requests certainly did not run. They
+            are released before the new claims are applied.
     """
 
     made_at: float
@@ -48,12 +49,12 @@
     releases: list[Claim] = []
 
 
-class _Held(NamedTuple):
-    """A key that is taken.
+class _HeldKey(NamedTuple):
+    """A key that a request holds.
 
     Attributes:
-        holder: The request that has it.
-        read_at: Steady seconds, when its last claim was read.
+        holder: The request that holds it.
+        read_at: Monotonic time at which its last claim was read, in seconds.
     """
 
     holder: str
@@ -64,7 +65,7 @@
 
 
 def encode_batch(batch: ClaimBatch) -> bytes:
-    """Returns the record's bytes."""
+    """Returns the encoded record of a batch."""
     return msgspec.json.encode(batch)
 
 
@@ -78,19 +79,20 @@
 
 
 class ClaimIndex:
-    """All claims of the retained window.
+    """All claims that have not expired.
 
     Attributes:
-        position: Offset of the last record taken in; -1 before the first.
-        window_s: Claims read longer ago than this are forgotten.
+        window_s: Time after which a claim expires, from its reading.
+        position: Offset of the last applied record; -1 before the first.
+        unreadable: Number of records that could not be decoded.
     """
 
     def __init__(self, window_s: float):
         self.window_s = window_s
         self.position = -1
         self.unreadable = 0
-        # The key whose last claim was read longest ago comes first.
-        self._held: collections.OrderedDict[str, _Held] = (
+        # Ordered by the time at which the last claim was read, oldest first.
+        self._held: collections.OrderedDict[str, _HeldKey] = (
             collections.OrderedDict()
         )
 
@@ -98,12 +100,12 @@
         return len(self._held)
 
     def apply(self, offset: int, payload: bytes, now: float) -> None:
-        """Takes in a record; records of an offset taken in are passed over.
+        """Applies a record, unless its offset has been applied already.
 
         Args:
-            offset: Of the record.
-            payload: Its bytes.
-            now: Steady seconds, when it was read.
+            offset: Offset of the record.
+            payload: Content of the record.
+            now: Monotonic time at which it was read, in seconds.
         """
         if offset <= self.position:
             return
@@ -115,30 +117,30 @@
             return
         self.expire(now)
         for claim in batch.releases:
-            self._drop(claim)
+            self._apply_release(claim)
         for claim in batch.claims:
-            self._take(claim, now)
+            self._apply_claim(claim, now)
 
     def find_holder(self, digest: str) -> str | None:
-        """Returns who has a key, or None."""
+        """Returns the request that holds a key, or None."""
         held = self._held.get(digest)
         return None if held is None else held.holder
 
     def expire(self, now: float) -> None:
-        """Forgets the claims that were read longer ago than the window."""
-        due = now - self.window_s
+        """Removes the claims that were read longer ago than the window."""
+        oldest_kept = now - self.window_s
         while self._held:
             digest, held = next(iter(self._held.items()))
-            if held.read_at >= due:
+            if held.read_at >= oldest_kept:
                 return
             del self._held[digest]
 
-    def _take(self, claim: Claim, now: float) -> None:
-        """Notes a claim; one of a key that is held only prolongs that."""
+    def _apply_claim(self, claim: Claim, now: float) -> None:
+        """Applies a claim; a claim on a held key only extends that one."""
         held = self._held.pop(claim.digest, None)
         holder = claim.holder if held is None else held.holder
-        self._held[claim.digest] = _Held(holder, now)
+        self._held[claim.digest] = _HeldKey(holder, now)
 
-    def _drop(self, claim: Claim) -> None:
+    def _apply_release(self, claim: Claim) -> None:
         if self.find_holder(claim.digest) == claim.holder:
             del self._held[claim.digest]
--- a/hillthread/state/cluster/feed_source.py
+++ b/hillthread/state/cluster/feed_source.py
@@ -1,8 +1,8 @@
-"""From whom a host reads topics: the store, or a host that reads for many.
+"""Selects the source from which a host reads topics: the store or a peer.
 
-In a data centre with many hosts the one that ranks first reads the store, and
-the others read from it. Every page names the age of its content, so that a
-wrong choice costs calls and never correctness.
+In a data centre with several hosts the first-ranked one reads the store, and
+the others read from it. Every page states the age of its content, so that a
+wrong choice costs additional calls but never correctness.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 
 __all__ = ["FeedSource", "HostEntry", "rank_hosts"]
 
-# A host that reads for another one makes 0.55 calls a second to the store for
-# keys and configurations, two that read for themselves 0.8 (worked out from
-# how long their reads are held).
-_LEAST_HOSTS = 2
-# A host that did not help is avoided for this time.
+# From this number of hosts on, one reads for the others. A host that reads for
+# another one makes 0.55 calls per second to the store for keys and
+# configurations; two that read for themselves make 0.8.
+_MIN_HOSTS = 2
+# Time for which a host is avoided after a failed read.
 _AVOID_S = 2.0
-# Only so many are tried before the store is read.
-_SOURCES = 2
-# Of the fastest link in a data centre: hosts with as much do what is done for
-# all others first.
-_STRONG_SHARE = 0.5
+# Hosts that are tried before the store is read.
+_MAX_SOURCES = 2
+# Hosts with at least this share of the fastest link in the data centre are
+# ranked first for the work that is done for all others.
+_FAST_LINK_SHARE = 0.5
 
 
 class HostEntry(NamedTuple):
-    """One host of the system.
+    """A listed host.
 
     Attributes:
-        name: Unique.
-        data_centre: Where it runs.
-        feed: `IP:port` where it answers other hosts.
-        link_mbps: What its link carries; 0 when not known.
+        name: Unique name of the host.
+        data_centre: Data centre in which it runs.
+        feed: `IP:port` at which it answers other hosts.
+        link_mbps: Capacity of its link; 0 when unknown.
     """
 
     name: str
@@ -46,31 +46,31 @@
 
 
 def rank_hosts(key: str, hosts: Mapping[str, HostEntry]) -> list[HostEntry]:
-    """Returns hosts in the order in which they do something for the others.
+    """Ranks hosts for a duty that one of them performs for the others.
 
-    All hosts agree on it. Those with a fast link come first: who gathers for 24
-    others sends 3.9 Mbit/s when much is sent, and where its link carries 5 a
-    third of it is lost, its callers' answers with it.
+    All hosts compute the same order. Hosts with a fast link come first: a
+    gatherer for 24 others sends 3.9 Mbit/s under high load; on a link of
+    5 Mbit/s a third of that is lost, along with answers to its callers.
 
     Args:
-        key: Names what is done.
-        hosts: By name.
+        key: Name of the duty.
+        hosts: The hosts, by name.
     """
     fastest = max((host.link_mbps for host in hosts.values()), default=0.0)
     order = placement.rank_by_rendezvous(key.encode(), hosts)
     ranked = [hosts[name] for name in order]
-    ranked.sort(key=lambda host: host.link_mbps < fastest * _STRONG_SHARE)
+    ranked.sort(key=lambda host: host.link_mbps < fastest * _FAST_LINK_SHARE)
     return ranked
 
 
 class FeedSource:
-    """Chooses whom to read from.
+    """Selects the host to read from among the listed ones.
 
     Attributes:
-        name: This host's name.
-        data_centre: Where it runs.
-        hosts: All that are listed, by name.
-        revision: Rises when these change.
+        name: Name of this host.
+        data_centre: Data centre of this host.
+        hosts: All listed hosts, by name.
+        revision: Incremented when the listed hosts change.
     """
 
     def __init__(self, name: str, data_centre: str):
@@ -85,20 +85,22 @@
     def put(self, entry: HostEntry) -> None:
         """Adds or replaces a host."""
         self.hosts[entry.name] = entry
-        self._rank()
+        self._update_ranking()
 
     def remove(self, name: str) -> None:
-        """Forgets a host."""
+        """Removes a host."""
         self.hosts.pop(name, None)
-        self._rank()
+        self._update_ranking()
 
     def pick_confirming_hosts(
         self, draw: Callable[[list[HostEntry]], HostEntry]
     ) -> list[HostEntry]:
-        """Returns a host of this data centre and one of another, as there are.
+        """Returns one other host of this data centre and one of another.
+
+        Either is left out when there is no such host.
 
         Args:
-            draw: Chooses one of several.
+            draw: Chooses one of several hosts.
         """
         others = [
             each for each in self.hosts.values() if each.name != self.name
@@ -108,8 +110,8 @@
         return [draw(group) for group in (here, elsewhere) if group]
 
     def pick(self, now: float) -> HostEntry | None:
-        """Returns the host to read from; None for the store."""
-        for entry in self._ranked[:_SOURCES]:
+        """Returns the host to read from, or None for the store."""
+        for entry in self._ranked[:_MAX_SOURCES]:
             if entry.name == self.name:
                 return None
             if now >= self._avoided_until.get(entry.name, 0.0):
@@ -117,28 +119,28 @@
         return None
 
     def avoid(self, name: str, now: float) -> None:
-        """Avoids a host that did not help."""
+        """Avoids a host for a while, after a read from it failed."""
         self._avoided_until[name] = now + _AVOID_S
 
     def count_neighbours(self) -> int:
-        """Returns how many other hosts are in this host's data centre."""
-        own = self._own_data_centre(self.hosts.values())
+        """Returns the number of other hosts in this data centre."""
+        own = self._filter_own_data_centre(self.hosts.values())
         return len(own.keys() - {self.name})
 
     def count_data_centres(self) -> int:
-        """Returns in how many data centres there are hosts."""
+        """Returns the number of data centres with listed hosts."""
         return len({entry.data_centre for entry in self.hosts.values()})
 
     def has_shared_reader(self) -> bool:
-        """Returns whether one host of the data centre reads for the others."""
+        """Returns whether one host of this data centre reads for the others."""
         return bool(self._ranked)
 
     def is_shared_reader(self) -> bool:
-        """Returns whether others are expected to read from this host."""
+        """Returns whether other hosts are expected to read from this one."""
         return any(entry.name == self.name for entry in self._ranked[:1])
 
     def get_duty_rank(self, key: str) -> int:
-        """Returns this host's place among all hosts for a duty, 0 first."""
+        """Returns this host's rank among all hosts for a duty, 0 first."""
         if key not in self._duty_ranks:
             order = placement.rank_by_rendezvous(key.encode(), self.hosts)
             listed = self.name in order
@@ -146,16 +148,16 @@
             self._duty_ranks[key] = rank
         return self._duty_ranks[key]
 
-    def _rank(self) -> None:
+    def _update_ranking(self) -> None:
         self.revision += 1
         self._duty_ranks.clear()
-        own = self._own_data_centre(self.hosts.values())
-        if len(own) < _LEAST_HOSTS:
+        own = self._filter_own_data_centre(self.hosts.values())
+        if len(own) < _MIN_HOSTS:
             self._ranked = []
             return
         self._ranked = rank_hosts(f"feed/{self.data_centre}", own)
 
-    def _own_data_centre(
+    def _filter_own_data_centre(
         self, entries: Iterable[HostEntry]
     ) -> dict[str, HostEntry]:
         return {
--- a/hillthread/state/cluster/freshness.py
+++ b/hillthread/state/cluster/freshness.py
@@ -1,38 +1,41 @@
-"""How old what this host knows of the platform's store may be.
+"""Tracks the age of this host's knowledge of the platform's store.
 
-Only a read that came back proves anything, and only for the moment at which
-the store looked. Seconds are those of `hillthread.clock`, so that a host that
-was frozen or suspended finds its knowledge old as soon as it wakes.
+Only a completed read proves that a state was current, and only at the moment
+when the store looked it up. Times are those of `hillthread.clock`, so that a
+host that was paused or suspended finds its knowledge stale when it resumes.
 """
 
 from __future__ import annotations
 
 __all__ = ["Freshness"]
 
-# A held read is answered after its wait by the store's clock, not ours.
+# Share of the requested wait that counts as held. The store measures the wait
+# of a long poll by its own clock, which may run faster than this host's.
 _HELD_SHARE = 0.9
 
 
 class Freshness:
-    """The age of the last proven read.
+    """Age of the last completed read.
 
     Attributes:
-        proven_at: Seconds; everything the store took until then is known.
+        known_until: Time in seconds; every change that the store accepted
+            before is known.
     """
 
     def __init__(self):
         self.known_until = float("-inf")
 
     def note_read(self, sent_at: float, held_s: float = 0.0) -> None:
-        """Notes a read that came back.
+        """Records a completed read.
 
         Args:
-            sent_at: When it was sent, seconds.
-            held_s: How long the store held it before it found nothing new.
+            sent_at: Time at which it was sent, in seconds.
+            held_s: How long the store held it before answering that nothing
+                had changed.
         """
         looked_at = sent_at + held_s * _HELD_SHARE
         self.known_until = max(self.known_until, looked_at)
 
     def age(self, now: float) -> float:
-        """Returns seconds since the last proof."""
+        """Returns the age of the known state, in seconds."""
         return now - self.known_until
--- a/hillthread/state/cluster/held_read.py
+++ b/hillthread/state/cluster/held_read.py
@@ -1,13 +1,12 @@
-"""How long a read of the store may be held so that a bound is still kept.
+"""Computes hold times of long-poll reads under a bound on staleness.
 
-A read that is held brings a change as soon as there is one, unless its
-connection falls silent, or the store does not answer it before its time is
-over. What it waits for is then found by the next read, whose time has to be
-within the bound as well.
+The store holds a read until there is a change or the hold time is over. If the
+connection falls silent or the store does not answer in time, the change is
+found only by the next read, which has to complete within the bound as well.
 
-Where one host reads for others, what these know is older by the time that it
-holds their questions. Should it stand still, they notice when an answer is
-overdue, and read the store themselves; what they know must be of use till then.
+If one host reads for others, their knowledge is older by the time for which it
+holds their reads. If that host hangs, the others notice an overdue answer and
+read the store themselves; their knowledge must stay usable until then.
 """
 
 from __future__ import annotations
@@ -22,32 +21,35 @@
     "compute_max_hold_s",
 ]
 
-# From the end of the time held until a read counts as lost, seconds: what the
-# host believes ages meanwhile, and asking again costs one call.
+# Time from the end of a hold until the read counts as lost. A longer one lets
+# the host's knowledge age; a shorter one costs a needless call to the store.
 READ_LOST_AFTER_S = 0.6
-# For the next read over a new connection, and for what is done with its answer
-# on a host that is short of processor time, seconds.
+# Time for the next read over a new connection and for processing its answer on
+# a host that is short of processor time.
 _NEXT_READ_S = 0.3
-# Of a short bound: a read that is not held at all costs a call each few ms.
-_LEAST_SHARE = 0.25
-# From the end of the time that a host holds a question until it counts as lost.
+# Least hold time as a share of a short bound: reads that are not held cost a
+# call every few ms.
+_MIN_HOLD_SHARE = 0.25
+# Time from the end of a host's hold until a read from it counts as lost.
 PEER_READ_LOST_AFTER_S = 0.5
-# Between the look of the store at a topic and the taking in, and for a read of
-# the store after another host was lost, seconds.
-_WAY_S = 0.2
-# A host holds a question no longer: it is the time after which others notice
-# that it stands still. A question costs a call within a data centre.
-_LONGEST_PEER_S = 1.0
-# Of the age up to which a host is ready; the rest is for the reader's hold.
-_PEER_SHARE = 0.35
+# Time from the store's lookup until a page is applied; also the time for a read
+# of the store after the reading host was lost.
+_PROCESSING_S = 0.2
+# Longest hold of a host that reads for others. The others notice only after
+# this time that it hangs; each of their reads costs a call within the data
+# centre.
+_MAX_PEER_HOLD_S = 1.0
+# Share of the age up to which a host is ready that the reading host may use for
+# its holds; the rest is for the store's hold.
+_PEER_HOLD_SHARE = 0.35
 
 
 class FeedHoldTimes(NamedTuple):
-    """How long reads are held where one host reads for others, seconds.
+    """Hold times when one host reads the store for others, in seconds.
 
     Attributes:
-        peer_s: Of a host that answers others.
-        reader_s: Of the store that answers that host.
+        peer_s: Hold of the reading host when others read from it.
+        reader_s: Hold of the store when the reading host reads from it.
     """
 
     peer_s: float
@@ -57,25 +59,31 @@
 def compute_feed_holds(
     ready_age_s: float, greatest_age_s: float
 ) -> FeedHoldTimes:
-    """Returns holds with which hosts that read from another one stay ready.
+    """Returns the longest holds under which all hosts stay ready.
 
     Args:
-        ready_age_s: What a host knows may be so old in ordinary times.
-        greatest_age_s: It is of no use beyond this age; it reaches it at most
-            when the host that reads for others stands still.
+        ready_age_s: Age of the knowledge up to which a host is ready; not
+            exceeded in normal operation.
+        greatest_age_s: Age beyond which the knowledge is unusable; reached at
+            most when the reading host hangs.
     """
-    peer_s = min(_LONGEST_PEER_S, ready_age_s * _PEER_SHARE)
-    ordinary_s = ready_age_s - peer_s - _WAY_S
-    lost_s = greatest_age_s - peer_s - PEER_READ_LOST_AFTER_S - 2 * _WAY_S
-    least_s = ready_age_s * _LEAST_SHARE
-    return FeedHoldTimes(peer_s, max(least_s, min(ordinary_s, lost_s)))
+    peer_s = min(_MAX_PEER_HOLD_S, ready_age_s * _PEER_HOLD_SHARE)
+    normal_hold_s = ready_age_s - peer_s - _PROCESSING_S
+    failover_hold_s = (
+        greatest_age_s - peer_s - PEER_READ_LOST_AFTER_S - 2 * _PROCESSING_S
+    )
+    min_hold_s = ready_age_s * _MIN_HOLD_SHARE
+    return FeedHoldTimes(
+        peer_s, max(min_hold_s, min(normal_hold_s, failover_hold_s))
+    )
 
 
 def compute_max_hold_s(bound_s: float) -> float:
-    """Returns how long a read may be held.
+    """Returns the longest hold time of a read.
 
     Args:
-        bound_s: From when the store took a change until it must be in force.
+        bound_s: Time from the acceptance of a change by the store until the
+            change must be in force.
     """
-    left_s = bound_s - READ_LOST_AFTER_S - _NEXT_READ_S
-    return max(left_s, bound_s * _LEAST_SHARE)
+    remaining_s = bound_s - READ_LOST_AFTER_S - _NEXT_READ_S
+    return max(remaining_s, bound_s * _MIN_HOLD_SHARE)
--- a/hillthread/state/cluster/lease.py
+++ b/hillthread/state/cluster/lease.py
@@ -1,15 +1,15 @@
-"""Leases as log records: who may give orders, without trusted clocks.
-
-The log decides who holds a lease; an acquisition counts only if it names the
-last lease record that counted. Time is each host's own: a holder acts for less
-than the time to live after it *began* to append, a contender waits the whole
-time to live after it *read* the last record. So a former holder has stopped
-before a new one begins, however late either was. The offset of the acquisition
-is the fencing number.
-
-A log that is restored from an older copy begins an era. What was acquired
-before counts no more, since the copy may lack a later acquisition, and an
-append of the former era that is done late names that era.
+"""Leases as log records, without synchronised clocks.
+
+The log decides which host holds a lease: an acquisition counts only if it names
+the last lease record that counted. Each host measures time by its own clock. A
+holder acts for less than the time to live after it *began* to append its
+record. A contender waits for the whole time to live after it *read* the last
+record. A former holder therefore stops before a new one starts, however late
+either of them was. The offset of the acquisition is the fencing number.
+
+A log that is restored from an older copy begins a new era. Earlier acquisitions
+no longer count, since the copy may lack a later one. Records name their era, so
+that a late append from a former era is recognised.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
     "decode_lease",
 ]
 
-# A holder acts for this part of the time to live; the rest covers clocks that
-# run at different rates.
+# Share of the time to live for which a holder acts; the rest allows for clocks
+# that run at different rates.
 _ACT_SHARE = 0.75
-# Own appends whose time of sending is remembered until they are read back.
-_MAX_UNREAD = 64
-# The holder of a lease that nobody holds.
+# Appends of this host whose start time is stored until they are read back.
+_MAX_UNREAD_APPENDS = 64
+# Stands for the holder when no host holds the lease.
 NO_HOLDER = ""
-# Somebody may hold it: the records that told were not read.
+# Stands for the holder when the records that would name it are missing.
 UNKNOWN_HOLDER = "?"
 
 
@@ -49,14 +49,15 @@
     tag_field="op",
     tag="acquire",
 ):
-    """Asks for the lease.
+    """Requests the lease.
 
     Attributes:
-        holder: Host and incarnation.
-        after: Offset of the last record that counted, as the asker read it;
-            -1 for none.
-        number: The asker's count of its records.
-        era: Of the log, as the asker knew it; None for a log without eras.
+        holder: Host and incarnation of the requester.
+        after: Offset of the last record that counted, as far as the requester
+            has read; -1 for none.
+        number: Number of the requester's append.
+        era: Era of the log as known to the requester; None for a log without
+            eras.
     """
 
     holder: str
@@ -73,13 +74,14 @@
     tag_field="op",
     tag="renew",
 ):
-    """Prolongs the lease.
+    """Extends the lease.
 
     Attributes:
-        holder: Host and incarnation.
+        holder: Host and incarnation of the holder.
         fencing: Offset of its acquisition.
-        number: The holder's count of its records.
-        era: Of the log, as the holder knew it; None for a log without eras.
+        number: Number of the holder's append.
+        era: Era of the log as known to the holder; None for a log without
+            eras.
     """
 
     holder: str
@@ -96,12 +98,13 @@
     tag_field="op",
     tag="release",
 ):
-    """Gives the lease back before its time.
+    """Ends the lease before it expires.
 
     Attributes:
-        holder: Host and incarnation.
+        holder: Host and incarnation of the holder.
         fencing: Offset of its acquisition.
-        era: Of the log, as the holder knew it; None for a log without eras.
+        era: Era of the log as known to the holder; None for a log without
+            eras.
     """
 
     holder: str
@@ -114,7 +117,7 @@
 
 
 def encode_lease(record: LeaseRecord) -> bytes:
-    """Returns the record's bytes."""
+    """Returns the encoded record."""
     return msgspec.json.encode(record)
 
 
@@ -122,23 +125,23 @@
     """Returns the lease record in a payload.
 
     Raises:
-        ConfigurationError: It is unreadable.
+        ConfigurationError: The payload is unreadable.
     """
     return payloads.decode_payload(_decoder, payload, "lease")
 
 
 class LeaseState:
-    """The lease as replayed from the log, the same for every reader.
+    """State of the lease as replayed from the log, equal for every reader.
 
     Attributes:
-        ordered: Each record was appended only where its author had read all
-            before it, so that every acquisition counts.
+        ordered: Whether a record is appended only if its author has read all
+            records before it, so that every acquisition counts.
         position: Offset of the last record read; -1 before the first.
-        holder: Who holds it, or empty.
+        holder: The holder, or empty.
         fencing: Offset of the acquisition; -1 for none.
-        last: Offset of the last record that counted; -1 for none.
-        era: Of the log; None for a log without eras. Records that name
-            another one do not count.
+        last_counted: Offset of the last record that counted; -1 for none.
+        era: Era of the log; None for a log without eras. Records that name
+            another era do not count.
         is_restored: Whether a record of another era was read.
     """
 
@@ -152,7 +155,7 @@
         self.last_counted = -1
 
     def apply(self, offset: int, payload: bytes) -> bool:
-        """Applies a record; returns whether it counted."""
+        """Applies a record and returns whether it counted."""
         if offset <= self.position:
             return False
         starts_late = self.position < 0 and offset > 0
@@ -166,8 +169,8 @@
             self.is_restored = True
             return False
         if starts_late:
-            # Older records are no longer kept; this one followed from them.
-            self._adopt(offset, record)
+            # Older records were removed; this one was valid after them.
+            self._adopt_record(offset, record)
             return True
         match record:
             case Acquire() if self.ordered or record.after == self.last_counted:
@@ -189,10 +192,10 @@
         return True
 
     def restart_at(self, first: int) -> None:
-        """Forgets what was read, for the records that follow it are gone.
+        """Resets the state, because the log no longer has the next records.
 
         Args:
-            first: Offset of the first record kept.
+            first: Offset of the first record in the log.
         """
         self.position = first - 1
         self.holder = UNKNOWN_HOLDER
@@ -200,14 +203,14 @@
         self.last_counted = -1
 
     def start_era(self, era: int | None) -> None:
-        """Forgets what was read, for the log was restored."""
+        """Resets the state, because the log was restored."""
         self.era = era
         self.position = -1
         self.holder = NO_HOLDER
         self.fencing = -1
         self.last_counted = -1
 
-    def _adopt(self, offset: int, record: LeaseRecord) -> None:
+    def _adopt_record(self, offset: int, record: LeaseRecord) -> None:
         self.holder = record.holder
         self.last_counted = offset
         match record:
@@ -221,16 +224,16 @@
 
 
 class Contender:
-    """One host's part in a lease: when it may act and when contend.
+    """One host's view of a lease: when it may act and when it may contend.
 
     Attributes:
         name: Host and incarnation.
         ttl_s: Time to live of the lease.
-        act_s: How long after it began to append a holder may act; shorter
-            than `ttl_s`.
-        pause_s: Least time between the acts of two holders, also after the
-            first one has released it.
-        state: As read from the log.
+        act_s: Time for which a holder may act, from the start of its append;
+            shorter than `ttl_s`.
+        handover_pause_s: Least time between the actions of two holders, also
+            after the first one has released the lease.
+        state: State of the lease as read from the log.
     """
 
     def __init__(
@@ -246,19 +249,19 @@
         self.act_s = ttl_s * _ACT_SHARE if act_s is None else act_s
         self.handover_pause_s = handover_pause_s
         self.state = LeaseState(ordered)
-        self._read_at: float | None = None
-        self._number = 0
-        self._began_at: dict[int, float] = {}
-        self._acts_until = float("-inf")
+        self._last_read_at: float | None = None
+        self._append_count = 0
+        self._appends_began_at: dict[int, float] = {}
+        self._may_act_until = float("-inf")
         self._contend_after = float("-inf")
-        self._knows_restoration = False
+        self._has_seen_restoration = False
 
     def begin_append(self, now: float) -> LeaseRecord:
-        """Returns the record to append now: a renewal, or an acquisition."""
-        self._number += 1
-        number = self._number
-        self._began_at[number] = now
-        self._began_at.pop(number - _MAX_UNREAD, None)
+        """Returns the record to append now: a renewal or an acquisition."""
+        self._append_count += 1
+        number = self._append_count
+        self._appends_began_at[number] = now
+        self._appends_began_at.pop(number - _MAX_UNREAD_APPENDS, None)
         if self.state.holder == self.name:
             fencing = self.state.fencing
             return Renew(
@@ -275,96 +278,98 @@
         )
 
     def read(self, offset: int, payload: bytes, now: float) -> None:
-        """Applies a record of the log, read at `now`.
+        """Applies a record of the log that was read at `now`.
 
-        An own record counts from when *it* was begun; a later one that is
-        still under way must not lengthen it.
+        A record of this host counts from the start of *its* append. A later
+        append that is still in progress must not extend it.
         """
         if not self.state.apply(offset, payload):
-            if self.state.is_restored and not self._knows_restoration:
-                # This process began after the restoration: it cannot know who
-                # had acquired the lease in the part that was lost.
-                self._knows_restoration = True
+            if self.state.is_restored and not self._has_seen_restoration:
+                # This process started after the restoration and cannot know
+                # which host acquired the lease in the lost part of the log.
+                self._has_seen_restoration = True
                 self._contend_after = now + self.ttl_s
             return
-        self._read_at = now
+        self._last_read_at = now
         if self.state.holder != self.name:
-            self._acts_until = float("-inf")
+            self._may_act_until = float("-inf")
             return
-        began_at = self._began_at.get(decode_lease(payload).number)
+        began_at = self._appends_began_at.get(decode_lease(payload).number)
         if began_at is not None:
-            self._acts_until = began_at + self.act_s
+            self._may_act_until = began_at + self.act_s
 
     def note_caught_up(self, now: float) -> None:
-        """Notes that the log was read to its end, though it was empty."""
-        if self._read_at is None:
-            self._read_at = now
+        """Records that the log was read to its end, even if it is empty."""
+        if self._last_read_at is None:
+            self._last_read_at = now
 
     def restart_at(self, first: int) -> None:
-        """Forgets what was read, for the records that follow it are gone.
+        """Resets the state, because the log no longer has the next records.
 
-        Whoever holds the lease by them may act until it is over.
+        A host that holds the lease by those records may act until it expires.
         """
         self.state.restart_at(first)
-        self._acts_until = float("-inf")
-        self._read_at = None
+        self._may_act_until = float("-inf")
+        self._last_read_at = None
 
     def start_era(self, era: int, now: float) -> None:
-        """Begins to follow a log that was restored.
+        """Starts to follow a log that was restored.
 
-        Nobody contends until an acquisition that was lost must be over, but for
-        the one who holds the lease: nobody else can have acquired it.
+        A host may not contend before any lost acquisition must have expired.
+        The exception is the holder, since no other host can have acquired the
+        lease meanwhile.
         """
         holds = self.may_act(now)
         self.state.start_era(era)
-        self._acts_until = float("-inf")
-        self._read_at = None
-        self._knows_restoration = True
+        self._may_act_until = float("-inf")
+        self._last_read_at = None
+        self._has_seen_restoration = True
         self._contend_after = now if holds else now + self.ttl_s
 
     def set_era(self, era: int | None) -> None:
-        """Notes the era of the log before anything of it is read."""
+        """Sets the era of the log before the first record is read."""
         self.state.start_era(era)
 
     def resign(self) -> None:
-        """Stops acting.
+        """Stops acting as the holder.
 
-        Whoever resigns because another one holds the lease must not contend
-        before that one's can be over; this does not keep it from that.
+        A host that resigns because another one holds the lease must not contend
+        before that lease can have expired; this method does not prevent it.
         """
-        self._acts_until = float("-inf")
+        self._may_act_until = float("-inf")
         self.state.holder = NO_HOLDER
 
     def may_act(self, now: float) -> bool:
-        """Returns whether this host holds the lease; ask right before acting.
+        """Returns whether this host holds the lease now.
 
-        A paused process finds here that its time has passed.
+        To be called right before each action, so that a process that was paused
+        detects that its lease has expired.
         """
-        return self.state.holder == self.name and now < self._acts_until
+        return self.state.holder == self.name and now < self._may_act_until
 
     def may_contend(self, now: float) -> bool:
         """Returns whether an acquisition may be appended."""
-        return self._read_at is not None and now >= self.contend_at
+        return self._last_read_at is not None and now >= self.contend_at
 
     @property
     def contend_at(self) -> float:
-        """From when an acquisition may be appended; of use once it has read."""
+        """Earliest time of an acquisition; valid once the log was read."""
         return max(self._contend_after, self._lapses_at)
 
     @property
     def _lapses_at(self) -> float:
-        """When whoever holds the lease by the log has surely stopped acting."""
+        """Time at which the holder has certainly stopped acting."""
         if self.state.holder == self.name:
-            return self._acts_until
-        if self._read_at is None:
+            return self._may_act_until
+        if self._last_read_at is None:
             return float("-inf")
         if self.state.holder != NO_HOLDER:
-            return self._read_at + self.ttl_s
+            return self._last_read_at + self.ttl_s
         if self.state.last_counted < 0:
-            return float("-inf")  # nobody has ever held it
-        return self._read_at + self.handover_pause_s
+            return float("-inf")  # no host has ever held the lease
+        return self._last_read_at + self.handover_pause_s
 
     def should_renew(self, now: float) -> bool:
         """Returns whether a renewal is due."""
-        due = self._acts_until - self.act_s / 2
+        due = self._may_act_until - self.act_s / 2
         return self.may_act(now) and now >= due
--- a/hillthread/state/cluster/membership.py
+++ b/hillthread/state/cluster/membership.py
@@ -1,9 +1,9 @@
-"""Which hosts are alive, as one host judges by what it hears.
+"""Failure detector: which other hosts are alive, judged by their messages.
 
-A host that was itself paused has heard nobody for a while and must not take
-that for the others' loss: `tick` notices its own lateness and counts little of
-it as silence. Some of it always counts, or a host that is late at each tick
-would never judge another lost.
+A host that was itself paused has received nothing for a while and must not
+count the other hosts as lost. `tick` detects that it runs late and counts only
+a part of the delay as silence. That part is never zero; otherwise a host whose
+ticks are always late would never detect a loss.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 
 __all__ = ["Member", "Membership"]
 
-# Of the silence that is allowed: no more than this counts between two ticks.
-# So who is silent is lost with the third tick of its silence at the latest.
-_TICK_SHARE = 0.5
+# Silence that counts between two ticks is at most this share of the allowed
+# silence. A silent host therefore counts as lost at the third tick at the
+# latest.
+_MAX_TICK_SHARE = 0.5
 
 
 class Member(NamedTuple):
-    """One other host.
+    """Another host.
 
     Attributes:
-        host: Its name.
-        data_centre: Where it runs.
-        incarnation: Of its control process.
-        position: Configuration position it told.
-        heard_at: Seconds, when it was last heard.
+        host: Name of the host.
+        data_centre: Data centre in which it runs.
+        incarnation: Incarnation of its control process.
+        position: Configuration position that it last reported.
+        heard_at: Time of its last message, in seconds.
     """
 
     host: str
@@ -36,12 +37,12 @@
 
 
 class Membership:
-    """All other hosts known.
+    """All other known hosts.
 
     Attributes:
-        suspect_s: Silence after which a host counts as lost.
-        members: By host.
-        changes: How often a host was lost or came back.
+        suspect_s: Silence after which a host counts as lost, in seconds.
+        members: The hosts by name.
+        change_count: How often a host was lost or came back.
     """
 
     def __init__(self, suspect_s: float):
@@ -52,7 +53,7 @@
         self._ticked_at: float | None = None
 
     def add_host(self, host: str, data_centre: str) -> None:
-        """Notes that a host exists, without having heard it."""
+        """Adds a host from which no message was received yet."""
         if host not in self.members:
             self.members[host] = Member(host, data_centre)
 
@@ -64,20 +65,20 @@
         position: int,
         now: float,
     ) -> None:
-        """Notes a sign of life."""
+        """Records a message from a host."""
         self.members[host] = Member(
             host, data_centre, incarnation, position, now
         )
 
     def tick(self, now: float) -> bool:
-        """Judges who is alive; returns whether that changed.
+        """Updates which hosts are alive; returns whether that changed.
 
         Must be called at intervals well below `suspect_s`.
         """
         if self._ticked_at is not None:
-            late_s = now - self._ticked_at - self.suspect_s * _TICK_SHARE
+            late_s = now - self._ticked_at - self.suspect_s * _MAX_TICK_SHARE
             if late_s > 0:
-                self._forgive(late_s, now)
+                self._discount_pause(late_s, now)
         self._ticked_at = now
         alive = frozenset(
             member.host
@@ -90,17 +91,18 @@
         return changed
 
     def list_alive(self, data_centre: str | None = None) -> list[str]:
-        """Returns the hosts judged alive, of one data centre or of all."""
+        """Returns the hosts that are alive, of one data centre or of all."""
         return sorted(
             host
             for host in self._alive
             if data_centre in (None, self.members[host].data_centre)
         )
 
-    def _forgive(self, late_s: float, now: float) -> None:
-        """Counts a pause of our own as time in which nobody could be heard.
+    def _discount_pause(self, late_s: float, now: float) -> None:
+        """Discounts a pause of this host, in which it received no messages.
 
-        Who was heard after the pause, and before this tick, gets no more.
+        A host whose message was processed after the pause, but before this
+        tick, gets no additional time.
         """
         for host, member in self.members.items():
             self.members[host] = member._replace(
--- a/hillthread/state/cluster/notice_route.py
+++ b/hillthread/state/cluster/notice_route.py
@@ -1,9 +1,9 @@
-"""Which hosts are told of work directly, so that each of them hears of it.
+"""Selects the hosts that receive a notice, so that it reaches all of them.
 
-Bytes between data centres are dear, and those within one are not: a host tells
-the others of its own data centre, and one host of each other data centre, which
-passes it on. That one is drawn for each notice: one that is out of reach
-costs a part of what is told, never all.
+Traffic between data centres is expensive, traffic within one is not. A host
+sends a notice to all others of its own data centre and to one host of each
+other data centre, which forwards it. That host is chosen at random for each
+notice, so that an unreachable host costs only a part of the notices.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class Receiver(NamedTuple):
-    """A host that is told of work.
+    """A host that receives a notice.
 
     Attributes:
-        host: Which.
-        passes_on: It tells the others of its data centre.
+        host: The host.
+        is_forwarder: Whether it forwards the notice within its data centre.
     """
 
     host: feed_source.HostEntry
@@ -36,13 +36,13 @@
     hosts: Iterable[feed_source.HostEntry],
     draw: Callable[[list[feed_source.HostEntry]], feed_source.HostEntry],
 ) -> list[Receiver]:
-    """Returns whom a host tells of its own work.
+    """Chooses the receivers of a host's own notice.
 
     Args:
-        name: The host.
-        data_centre: Where it runs.
-        hosts: All hosts that are listed.
-        draw: Chooses one of several at random.
+        name: Name of the sending host.
+        data_centre: Data centre of the sending host.
+        hosts: All listed hosts.
+        draw: Chooses one of several hosts at random.
     """
     elsewhere = collections.defaultdict(list)
     chosen = []
@@ -59,7 +59,7 @@
 def list_forward_receivers(
     name: str, data_centre: str, hosts: Iterable[feed_source.HostEntry]
 ) -> list[feed_source.HostEntry]:
-    """Returns whom a host tells of what it was asked to pass on."""
+    """Returns the receivers of a notice that a host was asked to forward."""
     return [
         host
         for host in hosts
--- a/hillthread/state/cluster/position.py
+++ b/hillthread/state/cluster/position.py
@@ -1,4 +1,4 @@
-"""Places in a log whose store may be restored from an older copy."""
+"""Positions in a log whose store may be restored from an older copy."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 
 
 class Position(NamedTuple):
-    """An offset and the era in which it was given out.
+    """An offset and the era in which it was assigned.
 
-    Offsets are given out again after a restoration, so they order records
-    within one era only; positions compare by era first.
+    A restored store assigns offsets again, so they order records within one era
+    only. Positions compare by era first.
 
     Attributes:
-        era: Restorations of the store so far; 0 for a store that counts none.
-        offset: Place in the topic; -1 for what precedes all records of an era.
+        era: Number of restorations of the store; 0 for a store that does not
+            count them.
+        offset: Offset in the topic; -1 for the position before all records of
+            an era.
     """
 
     era: int
--- a/hillthread/state/cluster/succession.py
+++ b/hillthread/state/cluster/succession.py
@@ -1,8 +1,8 @@
-"""When a host steps in to do what another one holds the lease for.
+"""Computes when a host tries to take over the duty of a lease's holder.
 
-A holder that lives acts at once when there is something to do, and shows it by
-a renewal. Others look after a short patience, the hosts that rank first for the
-duty first; what they read tells when the lease is over at the latest.
+A live holder acts at once when there is work and renews its lease, which the
+other hosts can read. They check after a short delay, the first-ranked hosts for
+the duty first. The log shows them when the lease expires at the latest.
 """
 
 from __future__ import annotations
@@ -16,29 +16,31 @@
     "compute_next_try_at",
 ]
 
-# A renewal takes some ms, and the news of what is to be done reach all hosts
-# within 0.2 s of each other.
-_HOLDER_PATIENCE_S = 0.5
-_RANK_PATIENCE_S = 0.1
-# Hosts that are equal otherwise do not ask at the same moment.
-_SPREAD_S = 0.05
-# The holder's own next try when its renewal has failed.
+# Delay that gives a live holder time for its renewal. A renewal takes some ms,
+# and all hosts learn of new work within 0.2 s of each other.
+_HOLDER_DELAY_S = 0.5
+# Additional delay of each rank.
+_RANK_DELAY_S = 0.1
+# Upper limit of a random delay, so that hosts do not try at the same moment.
+_JITTER_S = 0.05
+# Delay until the holder tries again after a failed renewal.
 _HOLDER_RETRY_S = 0.5
-# How long a lease still lasts counts from when its last record was read: those
-# who would follow first read it so often, the others when it may be over.
+# A host counts the remaining time of a lease from when it read the last record.
+# The first-ranked hosts, which would take over first, therefore read the log at
+# this interval; the others read it when the lease may have expired.
 WATCHING_HOST_COUNT = 3
-_WATCH_S = 0.8
+_WATCH_INTERVAL_S = 0.8
 
 
 class LeaseStanding(NamedTuple):
-    """How a host stands towards a lease.
+    """What a host knows of a lease.
 
     Attributes:
-        rank: Its place among the hosts for the duty, 0 first.
-        is_holder: It is the last holder, as far as it has read.
-        has_holder: Anybody is known to hold it.
-        contend_at: Seconds, from when it may be contended; minus infinity when
-            nothing hinders that, or when that is not known.
+        rank: Rank of the host for the duty, 0 first.
+        is_holder: Whether it is the last holder, as far as it has read.
+        has_holder: Whether any host is known to hold the lease.
+        contend_at: Earliest time to contend for the lease, in seconds; minus
+            infinity when there is no limit or it is unknown.
     """
 
     rank: int
@@ -48,39 +50,39 @@
 
 
 def compute_first_try_at(
-    standing: LeaseStanding, now: float, luck: float
+    standing: LeaseStanding, now: float, jitter: float
 ) -> float:
-    """Returns when to try first, after there has come something to do.
+    """Returns when to try first after new work has arrived.
 
     Args:
-        standing: Of this host.
-        now: Seconds.
-        luck: From 0 to 1, drawn anew by each host each time.
+        standing: What this host knows of the lease.
+        now: Current time, in seconds.
+        jitter: Random number from 0 to 1, drawn by each host for each call.
     """
     if standing.is_holder:
         return now
-    patience_s = _HOLDER_PATIENCE_S if standing.has_holder else 0.0
-    return now + patience_s + _turn_s(standing.rank, luck)
+    delay_s = _HOLDER_DELAY_S if standing.has_holder else 0.0
+    return now + delay_s + _compute_turn_delay_s(standing.rank, jitter)
 
 
 def compute_next_try_at(
-    standing: LeaseStanding, now: float, luck: float
+    standing: LeaseStanding, now: float, jitter: float
 ) -> float:
-    """Returns when to try again, after a try that did not bring the lease.
+    """Returns when to try again after a try that did not yield the lease.
 
     Args:
-        standing: Of this host.
-        now: Seconds.
-        luck: From 0 to 1, drawn anew by each host each time.
+        standing: What this host knows of the lease.
+        now: Current time, in seconds.
+        jitter: Random number from 0 to 1, drawn by each host for each call.
     """
     if standing.is_holder:
         return now + _HOLDER_RETRY_S
-    at = max(now + _HOLDER_PATIENCE_S, standing.contend_at)
-    at += _turn_s(standing.rank, luck)
+    at = max(now + _HOLDER_DELAY_S, standing.contend_at)
+    at += _compute_turn_delay_s(standing.rank, jitter)
     if standing.rank < WATCHING_HOST_COUNT:
-        return min(at, now + _WATCH_S)
+        return min(at, now + _WATCH_INTERVAL_S)
     return at
 
 
-def _turn_s(rank: int, luck: float) -> float:
-    return rank * _RANK_PATIENCE_S + luck * _SPREAD_S
+def _compute_turn_delay_s(rank: int, jitter: float) -> float:
+    return rank * _RANK_DELAY_S + jitter * _JITTER_S
--- a/hillthread/state/cluster/topic_copy.py
+++ b/hillthread/state/cluster/topic_copy.py
@@ -1,7 +1,7 @@
-"""This host's copy of a keyed topic: the newest of each key, and what changed.
+"""Local copy of a keyed topic: the newest record of each key and a history.
 
-Other hosts of the data centre may read from the copy in place of the store, so
-it keeps some history.
+Other hosts of the data centre may read from the copy instead of the store; the
+history lets them catch up from an earlier position.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 
 __all__ = ["Replacement", "TopicCopy", "TopicRecord"]
 
-# Changes kept for readers that lag; a slower one is given the whole copy.
-_MAX_HISTORY = 2_000
+# Records kept for readers that lag; a reader further behind gets the whole
+# copy.
+_MAX_HISTORY_RECORDS = 2_000
 
 
 class TopicRecord(NamedTuple):
     """One record of a keyed topic.
 
     Attributes:
-        key: What it is about.
-        value: Its bytes; none when the key was removed.
-        position: Its place in the topic.
+        key: Key of the record.
+        value: Content of the record; empty when the key was removed.
+        position: Position of the record in the topic.
     """
 
     key: str
@@ -34,12 +35,12 @@
 
 
 class Replacement(NamedTuple):
-    """What a whole reading of a topic has changed.
+    """Result of replacing the copy by a restored topic.
 
     Attributes:
-        changes: What is new or was removed.
-        lost: Keys that are kept though the topic lacks them, or has older
-            values.
+        changes: Records that are new, and empty records of removed keys.
+        lost: Keys whose records are kept, although the topic lacks them or has
+            older values.
     """
 
     changes: list[TopicRecord]
@@ -50,8 +51,8 @@
     """The newest record of each key.
 
     Attributes:
-        position: Of the next record; None before the first read.
-        newest: By key; removed keys are not in it.
+        position: Position of the next record; None before the first read.
+        newest: The newest records by key, without removed keys.
     """
 
     def __init__(self):
@@ -59,23 +60,23 @@
         self.newest: dict[str, TopicRecord] = {}
         self._era = 0
         self._history: collections.deque[TopicRecord] = collections.deque()
-        self._history_from = position_lib.Position(0, 0)
+        self._history_start = position_lib.Position(0, 0)
 
     def is_restored_by(self, era: int) -> bool:
-        """Returns whether a reading of an era replaces one of an older era."""
+        """Returns whether the copy's records are of an era before `era`."""
         return bool(self.newest) and era > self._era
 
     def replace(
         self, records: Sequence[TopicRecord], end: position_lib.Position
     ) -> list[TopicRecord]:
-        """Takes over the newest record of every key.
+        """Replaces the copy by the newest record of every key.
 
         Args:
-            records: All there are.
-            end: Of the next record.
+            records: The newest record of every key.
+            end: Position of the next record.
 
         Returns:
-            What is new or was removed.
+            Records that are new, and empty records of removed keys.
         """
         listed = {record.key for record in records}
         last = end._replace(offset=end.offset - 1)
@@ -87,7 +88,7 @@
         changes += [each for each in records if self._is_new(each)]
         for change in changes:
             self._store(change)
-        self._begin_at(end)
+        self._restart_history(end)
         return changes
 
     def restore(
@@ -97,20 +98,20 @@
         is_older: Callable[[TopicRecord, TopicRecord], bool],
         keeps_missing: bool,
     ) -> Replacement:
-        """Takes over a topic that was restored from an older copy.
+        """Replaces the copy by a topic that was restored from an older copy.
 
-        What the topic has an older value of is kept: it may be written again,
-        and any record that follows in this era replaces it.
+        A record of which the topic has an older value is kept: it may be
+        written again, and any later record of this era replaces it.
 
         Args:
             records: The newest record of every key.
-            end: Of the next record.
+            end: Position of the next record.
             is_older: Returns whether the first of two records is older.
-            keeps_missing: Keys that the topic lacks are kept, too; otherwise
-                they count as removed.
+            keeps_missing: Whether keys that the topic lacks are kept, too;
+                otherwise they count as removed.
 
         Returns:
-            What is new or was removed, and what the restored topic has lost.
+            The changes, and the keys that the restored topic has lost.
         """
         restored = {record.key: record for record in records}
         before_all = end._replace(offset=-1)
@@ -127,40 +128,40 @@
                 changes.append(record)
         changes += [each for each in records if each.key not in self.newest]
         self.newest = restored
-        self._begin_at(end)
+        self._restart_history(end)
         return Replacement(changes, lost)
 
     def add(self, record: TopicRecord) -> bool:
-        """Takes over the next record; returns whether it is new."""
+        """Adds the next record and returns whether it is new."""
         offset = record.position.offset
         self.position = record.position._replace(offset=offset + 1)
-        # Also one that is known already: whoever reads from here may not.
+        # A known record is added, too: readers of this copy may not have it.
         self._history.append(record)
-        if len(self._history) > _MAX_HISTORY:
+        if len(self._history) > _MAX_HISTORY_RECORDS:
             dropped = self._history.popleft().position
-            self._history_from = dropped._replace(offset=dropped.offset + 1)
+            self._history_start = dropped._replace(offset=dropped.offset + 1)
         if not self._is_new(record):
             return False
         self._store(record)
         return True
 
     def advance(self, position: position_lib.Position) -> None:
-        """Skips records that cannot be read."""
+        """Skips records that cannot be decoded."""
         self.position = max(self.position or position, position)
 
     def list_since(
         self, start: position_lib.Position
     ) -> list[TopicRecord] | None:
-        """Returns the records from `start` on; None when some are not kept."""
+        """Returns the records from `start` on, or None if some were dropped."""
         if self.position is None or start.era != self.position.era:
             return None
-        if start < self._history_from:
+        if start < self._history_start:
             return None
         return [record for record in self._history if record.position >= start]
 
-    def _begin_at(self, end: position_lib.Position) -> None:
+    def _restart_history(self, end: position_lib.Position) -> None:
         self._history.clear()
-        self._history_from = end
+        self._history_start = end
         self.position = end
         self._era = end.era
 
--- a/tests/state/cluster/test_claim_index.py
+++ b/tests/state/cluster/test_claim_index.py
@@ -1,4 +1,4 @@
-"""Tests of claims: one holder for each key, whatever the order of reading."""
+"""Tests of the claim index: each key has one holder for all readers."""
 
 import unittest
 
@@ -29,21 +29,21 @@
 class ClaimIndexTest(unittest.TestCase):
     @hypothesis.settings(derandomize=True, max_examples=100, deadline=None)
     @hypothesis.given(BATCHES, strategies.randoms(use_true_random=False))
-    def test_all_readers_name_the_first_holder(self, batches, chooser):
-        """Records may be read again: offsets taken in are passed over."""
+    def test_all_readers_find_the_first_holder(self, batches, chooser):
+        """Records may be read again; applied offsets are skipped."""
         expected = {}
         for batch in batches:
             for digest, holder in batch:
                 expected.setdefault(digest, holder)
         index = claim_index.ClaimIndex(100.0)
         for offset, batch in enumerate(batches):
-            for again in range(chooser.randint(0, offset + 1)):
-                index.apply(again, encode(batches[again]), 0.0)
+            for replayed in range(chooser.randint(0, offset + 1)):
+                index.apply(replayed, encode(batches[replayed]), 0.0)
             index.apply(offset, encode(batch), 0.0)
         found = {key: index.find_holder(key) for key in expected}
         self.assertEqual(found, expected)
 
-    def test_old_claims_are_forgotten_by_own_time(self):
+    def test_claims_expire_by_the_time_of_reading(self):
         index = claim_index.ClaimIndex(10.0)
         index.apply(0, encode([("a", "x")]), 0.0)
         index.apply(1, encode([("b", "x")]), 9.0)
@@ -52,7 +52,7 @@
         self.assertIsNone(index.find_holder("a"))
         self.assertEqual(len(index), 1)
 
-    def test_old_claims_are_forgotten_without_a_record(self):
+    def test_claims_expire_without_a_new_record(self):
         index = claim_index.ClaimIndex(10.0)
         index.apply(0, encode([("a", "x")]), 0.0)
         index.expire(10.0)
@@ -60,7 +60,7 @@
         index.expire(10.1)
         self.assertEqual(len(index), 0)
 
-    def test_clock_ahead_forgets_nothing(self):
+    def test_fast_clock_of_an_author_expires_no_claim(self):
         index = claim_index.ClaimIndex(10.0)
         index.apply(0, encode([("a", "x")], made_at=100.0), 0.0)
         index.apply(1, encode([("b", "x")], made_at=3_700.0), 1.0)
@@ -68,22 +68,22 @@
         self.assertEqual(index.find_holder("a"), "x")
         self.assertEqual(index.find_holder("b"), "x")
 
-    def test_clock_ahead_keeps_nothing_that_comes_after(self):
+    def test_fast_clock_of_an_author_extends_no_claim(self):
         index = claim_index.ClaimIndex(10.0)
         index.apply(0, encode([("a", "x")], made_at=3_700.0), 0.0)
         index.apply(1, encode([("b", "x")], made_at=101.0), 1.0)
         index.apply(2, encode([], made_at=112.0), 12.0)
         self.assertEqual(len(index), 0)
 
-    def test_clock_behind_keeps_a_claim_as_long_as_others(self):
+    def test_slow_clock_of_an_author_shortens_no_claim(self):
         index = claim_index.ClaimIndex(10.0)
         index.apply(0, encode([("a", "x")], made_at=100.0), 0.0)
         index.apply(1, encode([("b", "x")], made_at=50.0), 9.0)
         index.apply(2, encode([], made_at=111.0), 11.0)
         self.assertEqual(index.find_holder("b"), "x")
 
-    def test_none_is_granted_twice_by_hosts_that_read_at_other_times(self):
-        """One has read the first claim late and still keeps it."""
+    def test_key_is_granted_once_by_hosts_that_read_at_different_times(self):
+        """One host has read the first claim late and still holds it."""
         early = claim_index.ClaimIndex(10.0)
         late = claim_index.ClaimIndex(10.0)
         early.apply(0, encode([("a", "x")]), 0.0)
--- a/tests/state/cluster/test_lease.py
+++ b/tests/state/cluster/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of leases over random interleavings, pauses and lost answers."""
+"""Tests of leases with random interleavings, pauses and late appends."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 
 
 class Log:
-    """A log whose appends arrive late, or whose answers are lost."""
+    """A log in memory; hosts delay their appends to it."""
 
     def __init__(self):
         self.records = []
@@ -19,48 +19,49 @@
 
 
 class Host:
-    """One contender with its own clock and its own reading."""
+    """A contender with its own clock that reads and pauses at random."""
 
-    def __init__(self, name, offset_s, chooser):
+    def __init__(self, name, offset_s, rng):
         self.contender = lease.Contender(name, TTL)
         self.offset_s = offset_s
-        self.chooser = chooser
+        self.rng = rng
         self.paused_until = 0.0
-        self.in_flight = []
+        self.pending_appends = []
 
     def clock(self, now):
         return now + self.offset_s
 
     def step(self, log, now):
-        for due, record in list(self.in_flight):
+        for due, record in list(self.pending_appends):
             if due <= now:
-                self.in_flight.remove((due, record))
+                self.pending_appends.remove((due, record))
                 log.append(record)
         if now < self.paused_until:
             return
-        if self.chooser.random() < 0.02:
-            self.paused_until = now + self.chooser.uniform(0, 3 * TTL)
+        if self.rng.random() < 0.02:
+            self.paused_until = now + self.rng.uniform(0, 3 * TTL)
             return
-        own = self.clock(now)
-        if self.chooser.random() < 0.7:
+        local_time = self.clock(now)
+        if self.rng.random() < 0.7:
             start = self.contender.state.position + 1
             for offset in range(start, len(log.records)):
-                self.contender.read(offset, log.records[offset], own)
-            self.contender.note_caught_up(own)
-        if self.contender.should_renew(own) or self.contender.may_contend(own):
-            record = self.contender.begin_append(own)
-            delay = self.chooser.choice([0, 0, 0.05, 0.5, TTL])
-            self.in_flight.append((now + delay, record))
+                self.contender.read(offset, log.records[offset], local_time)
+            self.contender.note_caught_up(local_time)
+        if self.contender.should_renew(
+            local_time
+        ) or self.contender.may_contend(local_time):
+            record = self.contender.begin_append(local_time)
+            delay = self.rng.choice([0, 0, 0.05, 0.5, TTL])
+            self.pending_appends.append((now + delay, record))
 
 
 class LeaseTest(unittest.TestCase):
-    def test_never_two_that_may_act(self):
+    def test_at_most_one_host_may_act(self):
         for seed in range(60):
-            chooser = random.Random(seed)
+            rng = random.Random(seed)
             log = Log()
             hosts = [
-                Host(f"h{n}", chooser.uniform(-100, 100), chooser)
-                for n in range(3)
+                Host(f"h{n}", rng.uniform(-100, 100), rng) for n in range(3)
             ]
             fencing = []
             for tick in range(1500):
@@ -77,7 +78,7 @@
             self.assertEqual(fencing, sorted(fencing))
             self.assertGreater(len(fencing), 100)
 
-    def test_paused_holder_finds_that_its_time_has_passed(self):
+    def test_paused_holder_detects_that_its_lease_has_expired(self):
         contender = lease.Contender("a", TTL)
         contender.note_caught_up(0.0)
         record = contender.begin_append(0.0)
@@ -93,7 +94,7 @@
         self.assertFalse(state.apply(1, late))
         self.assertEqual((state.holder, state.fencing), ("a", 0))
 
-    def test_unreadable_records_count_for_nothing(self):
+    def test_unreadable_records_do_not_count(self):
         state = lease.LeaseState()
         for offset, payload in enumerate([b"\xff", b"{}", b'{"op":"new"}']):
             self.assertFalse(state.apply(offset, payload))
@@ -101,7 +102,7 @@
 
 
 class ReleaseTest(unittest.TestCase):
-    def test_released_lease_is_free_at_once_and_numbers_rise(self):
+    def test_released_lease_is_free_at_once_and_fencing_numbers_rise(self):
         first = lease.Contender("a", TTL)
         second = lease.Contender("b", TTL)
         log = Log()
--- a/tests/state/cluster/test_membership.py
+++ b/tests/state/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of who is judged alive."""
+"""Tests of the failure detector."""
 
 import unittest
 
@@ -11,40 +11,43 @@
         self.members.add_host("a", "dc1")
         self.members.add_host("b", "dc2")
 
-    def hear(self, host, now):
+    def receive(self, host, now):
         self.members.note_contact(host, f"dc{1 + (host == 'b')}", "i", 5, now)
 
-    def run_until(self, start, end, heard=()):
+    def run_until(self, start, end, senders=()):
         now = start
         while now <= end:
-            for host in heard:
-                self.hear(host, now)
+            for host in senders:
+                self.receive(host, now)
             self.members.tick(now)
             now += 0.5
 
-    def test_known_hosts_count_once_heard(self):
+    def test_known_hosts_are_alive_after_a_message(self):
         self.run_until(0.0, 1.0)
         self.assertEqual(self.members.list_alive(), [])
-        self.run_until(1.0, 2.0, heard=["a", "b"])
+        self.run_until(1.0, 2.0, senders=["a", "b"])
         self.assertEqual(self.members.list_alive(), ["a", "b"])
         self.assertEqual(self.members.list_alive("dc2"), ["b"])
         self.assertEqual(self.members.members["a"].position, 5)
 
-    def test_silence_loses_a_host(self):
-        self.run_until(0.0, 1.0, heard=["a", "b"])
-        self.run_until(1.5, 5.0, heard=["a"])
+    def test_silent_host_is_lost(self):
+        self.run_until(0.0, 1.0, senders=["a", "b"])
+        self.run_until(1.5, 5.0, senders=["a"])
         self.assertEqual(self.members.list_alive(), ["a"])
 
-    def test_own_pause_loses_nobody(self):
-        self.run_until(0.0, 1.0, heard=["a", "b"])
+    def test_own_pause_loses_no_host(self):
+        self.run_until(0.0, 1.0, senders=["a", "b"])
         self.members.tick(61.0)
         self.assertEqual(self.members.list_alive(), ["a", "b"])
         self.assertEqual(self.members.change_count, 2)
         self.run_until(61.5, 65.0)
         self.assertEqual(self.members.list_alive(), [])
 
-    def test_lateness_of_each_tick_keeps_nobody_alive_for_good(self):
-        """Each tick is late, as on a busy host, and one host is silent."""
+    def test_silent_host_is_lost_even_if_each_tick_is_late(self):
+        """Guards against counting each late tick as a pause of this host.
+
+        On a busy host every tick may be late.
+        """
         for period in (1.6, 2.0, 5.0, 60.0):
             with self.subTest(period=period):
                 members = membership.Membership(3.0)
@@ -53,25 +56,25 @@
                     members.tick(1.0 + number * period)
                 self.assertEqual(members.list_alive(), [])
 
-    def test_two_pauses_in_a_row_lose_nobody(self):
-        self.run_until(0.0, 1.0, heard=["a", "b"])
+    def test_two_pauses_in_a_row_lose_no_host(self):
+        self.run_until(0.0, 1.0, senders=["a", "b"])
         self.members.tick(61.0)
-        self.hear("a", 61.2)
-        self.hear("b", 61.2)
+        self.receive("a", 61.2)
+        self.receive("b", 61.2)
         self.members.tick(121.0)
         self.assertEqual(self.members.list_alive(), ["a", "b"])
         self.assertEqual(self.members.change_count, 2)
 
-    def test_who_was_heard_after_a_pause_is_not_excused_for_it(self):
-        """What came in during the pause is heard before the tick."""
-        self.run_until(0.0, 1.0, heard=["a", "b"])
-        self.hear("a", 61.0)
+    def test_host_with_a_message_after_a_pause_gets_no_additional_time(self):
+        """Messages that arrive during a pause are processed before the tick."""
+        self.run_until(0.0, 1.0, senders=["a", "b"])
+        self.receive("a", 61.0)
         self.members.tick(61.0)
         self.run_until(61.5, 65.0)
         self.assertEqual(self.members.list_alive(), [])
 
     def test_silence_before_a_pause_still_counts(self):
-        self.run_until(0.0, 1.0, heard=["a", "b"])
-        self.run_until(1.5, 3.0, heard=["b"])
+        self.run_until(0.0, 1.0, senders=["a", "b"])
+        self.run_until(1.5, 3.0, senders=["b"])
         self.members.tick(61.0)
         self.assertEqual(self.members.list_alive(), ["b"])
--- a/tests/state/cluster/test_notice_route.py
+++ b/tests/state/cluster/test_notice_route.py
@@ -1,4 +1,4 @@
-"""Tests of whom a host tells of its work."""
+"""Tests of the receivers of a notice."""
 
 import unittest
 
@@ -13,25 +13,27 @@
 
 
 class NoticeRouteTest(unittest.TestCase):
-    def test_every_other_host_hears_once(self):
+    def test_every_other_host_receives_the_notice_once(self):
         for draw in (min, max):
             with self.subTest(draw=draw):
-                told = notice_route.choose_receivers("a0", "a", HOSTS, draw)
-                heard = [each.host.name for each in told]
-                for each in told:
+                receivers = notice_route.choose_receivers(
+                    "a0", "a", HOSTS, draw
+                )
+                reached = [each.host.name for each in receivers]
+                for each in receivers:
                     if each.is_forwarder:
                         host = each.host
-                        heard += [
+                        reached += [
                             other.name
                             for other in notice_route.list_forward_receivers(
                                 host.name, host.data_centre, HOSTS
                             )
                         ]
                 others = sorted({host.name for host in HOSTS} - {"a0"})
-                self.assertEqual(sorted(heard), others)
+                self.assertEqual(sorted(reached), others)
 
     def test_one_notice_crosses_to_each_other_data_centre(self):
-        told = notice_route.choose_receivers("a0", "a", HOSTS, min)
-        crossing = [e for e in told if e.host.data_centre != "a"]
+        receivers = notice_route.choose_receivers("a0", "a", HOSTS, min)
+        crossing = [e for e in receivers if e.host.data_centre != "a"]
         self.assertEqual([e.host.name for e in crossing], ["b0", "c0"])
         self.assertEqual([e.is_forwarder for e in crossing], [True, False])
--- a/tests/state/cluster/test_restored_topic_at_size.py
+++ b/tests/state/cluster/test_restored_topic_at_size.py
@@ -1,15 +1,15 @@
-"""A topic whose store is restored from backups, followed by many hosts.
-
-Pattern: an operator writes versions under a few keys; the store goes back to
-backups of 0.5 to 10 s, once or twice in a row, and the newest of what was lost
-is written again. One host of a data centre reads the store, the others read
-from it; data centres are cut off from the store meanwhile, and hosts start
-again.
-
-Everything runs in virtual time; hosts have the shipped copies of topics, the
-store and the way between hosts are written here. Checked at each moment: what
-was written, or written again, some seconds ago is known to all hosts that were
-in touch, and no process ever goes back.
+"""Tests copies of a topic on many hosts while its store is restored.
+
+An operator writes versions under a few keys. The store is restored from backups
+that are 0.5 to 10 s old, once or twice in a row, and the operator rewrites the
+newest versions. One host of each data centre reads the store and the others
+read from it. Meanwhile data centres lose their connection to the store and
+hosts restart.
+
+The simulation runs in virtual time with the product's topic copies; the store
+and the transport are models. After each step, every version written some
+seconds ago must be known to all connected hosts, and no process may return to
+an older version.
 """
 
 import heapq
@@ -22,10 +22,10 @@
 
 KEYS = ("config", "version/m")
 TICK_S = 0.25
-# Two readings, and a moment; the platform allows 2 s and more.
-KNOWN_S = 1.5
-SIZES = ((8, 4), (90, 4), (420, 20))
-LENGTH_S = 60.0
+# Time for two reads with a margin; the platform allows 2 s and more.
+MAX_DELAY_S = 1.5
+DEPLOYMENT_SIZES = ((8, 4), (90, 4), (420, 20))
+DURATION_S = 60.0
 
 
 def is_older(record, known):
@@ -34,58 +34,60 @@
 
 
 class Store:
-    """A keyed topic that goes back to backups."""
+    """A keyed topic that can be restored from a backup."""
 
     def __init__(self):
         self.era = 3
         self.log = []
-        self.is_away = False
+        self.is_down = False
 
     def write(self, key, version):
         """Appends a record."""
         self.log.append((key, str(version).encode()))
 
     def newest(self):
-        """Returns the newest record of each key, and the end."""
+        """Returns the newest record of each key and the end position."""
         found = {
-            key: topic_copy.TopicRecord(key, value, self.at(offset))
+            key: topic_copy.TopicRecord(key, value, self.make_position(offset))
             for offset, (key, value) in enumerate(self.log)
         }
-        return list(found.values()), self.at(len(self.log))
+        return list(found.values()), self.make_position(len(self.log))
 
-    def at(self, offset):
-        """Returns a position of now."""
+    def make_position(self, offset):
+        """Returns a position in the current era."""
         return position.Position(self.era, offset)
 
 
 class Host:
-    """One host: its copy, and what it applies."""
+    """A host with its copy of the topic and the versions it has applied."""
 
-    def __init__(self, name, place):
+    def __init__(self, name, data_centre):
         self.name = name
-        self.place = place
+        self.data_centre = data_centre
         self.start(0.0)
 
     def start(self, now):
-        """Starts its process anew."""
+        """Starts or restarts the process."""
         self.copy = topic_copy.TopicCopy()
         self.era = 0
         self.applied = {}
-        self.in_touch_since = now
+        self.connected_since = now
 
-    def read_store(self, store, witnesses):
+    def read_store(self, store, confirming_hosts):
         """Reads from the store as a follower does."""
         at = self.copy.position
         self.era = store.era
         if at is None or at.era != store.era or at.offset > len(store.log):
             records, end = store.newest()
             if not self.copy.newest:
-                records = self.confirm(records, witnesses)
-            self.take_whole(records, end)
+                records = self.merge_newer(records, confirming_hosts)
+            self.replace_copy(records, end)
             return
         for offset in range(at.offset, len(store.log)):
             key, value = store.log[offset]
-            record = topic_copy.TopicRecord(key, value, store.at(offset))
+            record = topic_copy.TopicRecord(
+                key, value, store.make_position(offset)
+            )
             if self.copy.add(record):
                 self.apply(record)
 
@@ -100,26 +102,26 @@
             changes = peer.copy.list_since(self.copy.position)
         if changes is None:
             if end >= (self.copy.position or position.Position(0, 0)):
-                self.take_whole(list(peer.copy.newest.values()), end)
+                self.replace_copy(list(peer.copy.newest.values()), end)
             return
         for record in changes:
             if self.copy.add(record):
                 self.apply(record)
         self.copy.advance(end)
 
-    def confirm(self, records, witnesses):
+    def merge_newer(self, records, confirming_hosts):
         """Returns records of the store, or newer ones of other hosts."""
         newest = {each.key: each for each in records}
-        for witness in witnesses:
-            for record in witness.copy.newest.values():
+        for confirming_host in confirming_hosts:
+            for record in confirming_host.copy.newest.values():
                 known = newest.get(record.key)
                 if known is not None and is_older(known, record):
                     at = known.position._replace(offset=-1)
                     newest[record.key] = record._replace(position=at)
         return list(newest.values())
 
-    def take_whole(self, records, end):
-        """Takes over the newest record of every key."""
+    def replace_copy(self, records, end):
+        """Replaces the copy by the newest record of every key."""
         if not self.copy.is_restored_by(end.era):
             changes = self.copy.replace(records, end)
         else:
@@ -128,46 +130,48 @@
             self.apply(record)
 
     def apply(self, record):
-        """Applies a version; an older one changes nothing."""
+        """Applies a version unless it is older than the current one."""
         if record.value:
             before = self.applied.get(record.key, 0)
             self.applied[record.key] = max(before, int(record.value))
 
 
-class Play:
-    """An operator, a store with backups, and hosts."""
+class Simulation:
+    """Simulates an operator, a store with backups, and hosts."""
 
-    def __init__(self, hosts, places, seed):
-        self.draw = random.Random(seed)
+    def __init__(self, hosts, data_centre_count, seed):
+        self.rng = random.Random(seed)
         self.store = Store()
-        self.hosts = [Host(f"h{n}", n % places) for n in range(hosts)]
+        self.hosts = [
+            Host(f"h{n}", n % data_centre_count) for n in range(hosts)
+        ]
         self.members = [
-            [host for host in self.hosts if host.place == place]
-            for place in range(places)
+            [host for host in self.hosts if host.data_centre == data_centre]
+            for data_centre in range(data_centre_count)
         ]
         self.versions = dict.fromkeys(KEYS, 0)
         self.written_at = dict.fromkeys(KEYS, 0.0)
-        self.cut_places = set()
-        self.wrong = []
+        self.cut_data_centres = set()
+        self.violations = []
         self._events = []
         self._numbers = itertools.count()
         for key in KEYS:
             self.write(0.0, key)
 
-    def at(self, when, action, *arguments):
-        """Has something happen."""
+    def schedule(self, when, action, *arguments):
+        """Schedules a call of `action`."""
         entry = (when, next(self._numbers), action, arguments)
         heapq.heappush(self._events, entry)
 
     def run(self):
-        """Plays."""
+        """Runs the simulation."""
         for host in self.hosts:
-            self.at(self.draw.random() * TICK_S, self.tick, host)
-        self.at(0.5, self.change)
-        self.at(3.0, self.back_up)
-        self.at(2.0, self.restart)
-        self.at(4.0, self.cut)
-        while self._events and self._events[0][0] < LENGTH_S:
+            self.schedule(self.rng.random() * TICK_S, self.tick, host)
+        self.schedule(0.5, self.write_some)
+        self.schedule(3.0, self.back_up)
+        self.schedule(2.0, self.restart)
+        self.schedule(4.0, self.toggle_cut)
+        while self._events and self._events[0][0] < DURATION_S:
             now, _, action, arguments = heapq.heappop(self._events)
             action(now, *arguments)
 
@@ -177,91 +181,97 @@
         self.written_at[key] = now
         self.store.write(key, self.versions[key])
 
-    def change(self, now):
-        """Has the operator write now and then, also several at once."""
-        if self.store.is_away:
-            self.at(now + 0.1, self.change)
+    def write_some(self, now):
+        """Writes one or several versions and schedules the next writes."""
+        if self.store.is_down:
+            self.schedule(now + 0.1, self.write_some)
             return
-        for _ in range(self.draw.choice((1, 1, 4))):
-            self.write(now, self.draw.choice(KEYS))
-        self.at(now + self.draw.expovariate(0.5), self.change)
+        for _ in range(self.rng.choice((1, 1, 4))):
+            self.write(now, self.rng.choice(KEYS))
+        self.schedule(now + self.rng.expovariate(0.5), self.write_some)
 
     def back_up(self, now):
-        """Makes a backup that is restored soon."""
+        """Makes a backup and schedules its restoration."""
         backup = list(self.store.log)
-        self.at(now + self.draw.uniform(0.5, 10.0), self.fail, backup)
-        if self.draw.random() < 0.3:  # restored twice in a row
-            self.at(now + self.draw.uniform(10.0, 11.0), self.fail, backup)
-
-    def fail(self, now, backup):
-        """Has the store go away for a moment."""
-        self.store.is_away = True
-        self.at(now + self.draw.uniform(0.05, 2.0), self.restore, backup)
+        self.schedule(
+            now + self.rng.uniform(0.5, 10.0), self.take_store_down, backup
+        )
+        if self.rng.random() < 0.3:  # restored twice in a row
+            self.schedule(
+                now + self.rng.uniform(10.0, 11.0), self.take_store_down, backup
+            )
+
+    def take_store_down(self, now, backup):
+        """Takes the store down for a short time."""
+        self.store.is_down = True
+        self.schedule(now + self.rng.uniform(0.05, 2.0), self.restore, backup)
 
     def restore(self, now, backup):
-        """Has the store come back from a backup."""
-        self.store.is_away = False
+        """Brings the store up, restored from a backup."""
+        self.store.is_down = False
         self.store.era += 1
         self.store.log = list(backup)
-        self.at(now + self.draw.uniform(0.0, 0.5), self.write_again)
-        self.at(now + self.draw.uniform(1.0, 6.0), self.back_up)
+        self.schedule(now + self.rng.uniform(0.0, 0.5), self.rewrite)
+        self.schedule(now + self.rng.uniform(1.0, 6.0), self.back_up)
 
-    def write_again(self, now):
-        """Has the operator write its newest versions again."""
+    def rewrite(self, now):
+        """Writes the newest version of each key again."""
         for key in KEYS:
             self.written_at[key] = now
             self.store.write(key, self.versions[key])
 
     def restart(self, now):
-        """Starts a host again."""
-        self.draw.choice(self.hosts).start(now)
-        self.at(now + self.draw.uniform(0.2, 2.0), self.restart)
-
-    def cut(self, now):
-        """Cuts a data centre off from the store, or heals it."""
-        if self.cut_places:
-            place = self.cut_places.pop()
-            for host in self.members[place]:
-                host.in_touch_since = now
+        """Restarts a host."""
+        self.rng.choice(self.hosts).start(now)
+        self.schedule(now + self.rng.uniform(0.2, 2.0), self.restart)
+
+    def toggle_cut(self, now):
+        """Disconnects a data centre from the store, or reconnects it."""
+        if self.cut_data_centres:
+            data_centre = self.cut_data_centres.pop()
+            for host in self.members[data_centre]:
+                host.connected_since = now
         else:
-            self.cut_places.add(self.draw.randrange(len(self.members)))
-        self.at(now + self.draw.uniform(1.0, 6.0), self.cut)
+            self.cut_data_centres.add(self.rng.randrange(len(self.members)))
+        self.schedule(now + self.rng.uniform(1.0, 6.0), self.toggle_cut)
 
     def tick(self, now, host):
-        """Has a host read, and judges what it knows."""
+        """Makes a host read and checks its knowledge."""
         before = dict(host.applied)
-        reader = self.members[host.place][0]
-        is_cut = host.place in self.cut_places or self.store.is_away
+        reader = self.members[host.data_centre][0]
+        is_cut = host.data_centre in self.cut_data_centres or self.store.is_down
         if host is not reader and reader.copy.position is not None:
             host.read_peer(reader)
         elif not is_cut:
             others = [each for each in self.hosts if each is not host]
-            host.read_store(self.store, self.draw.sample(others, 2))
+            host.read_store(self.store, self.rng.sample(others, 2))
         if is_cut:
-            host.in_touch_since = now
-        self.judge(now, host, before)
-        self.at(now + TICK_S, self.tick, host)
+            host.connected_since = now
+        self.check_knowledge(now, host, before)
+        self.schedule(now + TICK_S, self.tick, host)
 
-    def judge(self, now, host, before):
-        """Notes what a host should know, and what it has gone back in."""
+    def check_knowledge(self, now, host, before):
+        """Records versions that a host should know or has lost."""
         for key, version in before.items():
             if host.applied.get(key, 0) < version:
-                self.wrong.append((now, host.name, key, "went back"))
+                self.violations.append((now, host.name, key, "went back"))
         for key in KEYS:
-            since = max(self.written_at[key], host.in_touch_since)
-            is_late = now - since > KNOWN_S
+            since = max(self.written_at[key], host.connected_since)
+            is_late = now - since > MAX_DELAY_S
             if is_late and host.applied.get(key) != self.versions[key]:
-                self.wrong.append((now, host.name, key, "does not know"))
+                self.violations.append((now, host.name, key, "does not know"))
 
 
 class RestoredTopicAtSizeTest(unittest.TestCase):
-    def test_all_hosts_know_what_was_written_last(self):
-        for (hosts, places), seed in itertools.product(SIZES, range(3)):
+    def test_all_hosts_know_the_last_versions_after_restorations(self):
+        for (hosts, data_centre_count), seed in itertools.product(
+            DEPLOYMENT_SIZES, range(3)
+        ):
             with self.subTest(hosts=hosts, seed=seed):
-                play = Play(hosts, places, seed)
-                play.run()
-                self.assertEqual(play.wrong[:3], [])
-                self.assertGreater(play.store.era, 6)
+                simulation = Simulation(hosts, data_centre_count, seed)
+                simulation.run()
+                self.assertEqual(simulation.violations[:3], [])
+                self.assertGreater(simulation.store.era, 6)
 
 
 if __name__ == "__main__":
--- a/tests/state/cluster/test_succession.py
+++ b/tests/state/cluster/test_succession.py
@@ -1,4 +1,4 @@
-"""Tests of when hosts step in for a holder that gives no orders."""
+"""Tests of when other hosts take over the lease of a holder."""
 
 import random
 import unittest
@@ -7,21 +7,21 @@
 from hillthread.state.cluster import succession
 
 _ACT_S = 2.0
-_TTL_S = 5.3  # as the product takes it on the users' sheets
+_TTL_S = 5.3  # the product's value in the users' deployments
 _TICK_S = 0.1
-_HOSTS = 6
+_HOST_COUNT = 6
 
 
 class Host:
-    """One host with the duty's clockwork, on a log that never fails."""
+    """A host that follows the duty's schedule on a log that never fails."""
 
-    def __init__(self, rank, log, luck):
+    def __init__(self, rank, log, rng):
         self.rank = rank
         self.log = log
-        self.luck = luck
+        self.rng = rng
         self.contender = lease.Contender(f"h{rank}", _TTL_S, _ACT_S)
         self.alive = True
-        self.needed = False
+        self.has_work = False
         self.try_at = 0.0
         self.reads = 0
 
@@ -46,26 +46,26 @@
         self.log.append(lease.encode_lease(record))
         self.catch_up(now)
 
-    def turn(self, now):
-        """Does one turn; returns whether this host gives an order."""
+    def take_turn(self, now):
+        """Runs one step and returns whether this host acts as the holder."""
         if not self.alive:
             return False
-        if not self.needed:
-            self.needed = True
+        if not self.has_work:
+            self.has_work = True
             self.try_at = succession.compute_first_try_at(
-                self.standing(), now, self.luck.random()
+                self.standing(), now, self.rng.random()
             )
         if now < self.try_at:
             return False
-        self.ensure(now)
+        self.ensure_lease(now)
         if self.contender.may_act(now):
             return True
         self.try_at = succession.compute_next_try_at(
-            self.standing(), now, self.luck.random()
+            self.standing(), now, self.rng.random()
         )
         return False
 
-    def ensure(self, now):
+    def ensure_lease(self, now):
         if self.contender.may_act(now):
             if self.contender.should_renew(now):
                 self.append(now)
@@ -75,105 +75,105 @@
             self.append(now)
 
 
-class Orders:
-    """Hosts with a holder, which has just been idle for a while."""
+class Cluster:
+    """Hosts with an idle holder of the lease."""
 
     def __init__(self, seed):
         self.log = []
-        luck = random.Random(seed)
-        self.hosts = [Host(rank, self.log, luck) for rank in range(_HOSTS)]
-        self.hosts[0].ensure(0.0)
+        rng = random.Random(seed)
+        self.hosts = [Host(rank, self.log, rng) for rank in range(_HOST_COUNT)]
+        self.hosts[0].ensure_lease(0.0)
         for host in self.hosts:
             host.catch_up(1.0)
 
-    def play(self, start, end, kills):
-        """Returns when an order was given, and by whom.
+    def run(self, start, end, kills):
+        """Returns the time and the host of each action of a holder.
 
         Args:
-            start: Seconds, when weights are named.
-            end: Seconds.
-            kills: Hosts die right after they have taken or renewed the lease,
-                before they give an order, so often.
+            start: Time at which there is new work, in seconds.
+            end: Time of the end, in seconds.
+            kills: Number of hosts that die right after acquiring or renewing
+                the lease, before they act.
         """
-        given = []
+        actions = []
         for step in range(round((end - start) / _TICK_S)):
             now = start + step * _TICK_S
             for host in self.hosts:
                 before = len(self.log)
-                gives = host.turn(now)
+                acts = host.take_turn(now)
                 if kills and len(self.log) > before:
                     host.alive = False
                     kills -= 1
-                elif gives:
-                    given.append((now, host.rank))
-        return given
+                elif acts:
+                    actions.append((now, host.rank))
+        return actions
 
 
 class SuccessionTest(unittest.TestCase):
-    def test_holder_orders_at_once_and_nobody_else_does(self):
+    def test_holder_acts_at_once_and_no_other_host_does(self):
         for seed in range(20):
-            orders = Orders(seed)
-            given = orders.play(60.0, 75.0, 0)
-            self.assertEqual(given[0], (60.0, 0))
-            self.assertEqual({rank for _, rank in given}, {0})
-
-    def test_who_follows_late_reads_the_lease_only_when_it_may_be_over(self):
-        orders = Orders(0)
-        before = [host.reads for host in orders.hosts]
-        orders.play(60.0, 70.0, 0)
+            cluster = Cluster(seed)
+            actions = cluster.run(60.0, 75.0, 0)
+            self.assertEqual(actions[0], (60.0, 0))
+            self.assertEqual({rank for _, rank in actions}, {0})
+
+    def test_low_ranked_hosts_read_the_log_only_when_the_lease_may_expire(self):
+        cluster = Cluster(0)
+        before = [host.reads for host in cluster.hosts]
+        cluster.run(60.0, 70.0, 0)
         reads = [
             host.reads - count
-            for host, count in zip(orders.hosts, before, strict=True)
+            for host, count in zip(cluster.hosts, before, strict=True)
         ]
         self.assertLessEqual(max(reads[3:]), 2)
         self.assertLessEqual(max(reads[1:3]), 13)
 
-    def test_holder_that_goes_silent_later_is_followed_as_soon(self):
-        """Its last record was read soon, though others knew of it before."""
+    def test_holder_that_dies_after_acting_is_replaced_in_time(self):
+        """The first-ranked hosts read the last record soon after its append."""
         for seed in range(20):
-            orders = Orders(seed)
-            orders.play(60.0, 62.7, 0)
-            orders.hosts[0].alive = False
-            last_at = orders.hosts[0].contender.contend_at - _ACT_S
-            first, _ = orders.play(62.7, 90.0, 0)[0]
+            cluster = Cluster(seed)
+            cluster.run(60.0, 62.7, 0)
+            cluster.hosts[0].alive = False
+            last_at = cluster.hosts[0].contender.contend_at - _ACT_S
+            first, _ = cluster.run(62.7, 90.0, 0)[0]
             self.assertGreater(first - last_at, _TTL_S)
             self.assertLess(first - last_at, _TTL_S + 1.2)
 
-    def test_holder_that_died_while_idle_is_followed_at_once(self):
+    def test_holder_that_died_while_idle_is_replaced_at_once(self):
         for seed in range(20):
-            orders = Orders(seed)
-            orders.hosts[0].alive = False
-            first, rank = orders.play(60.0, 75.0, 0)[0]
+            cluster = Cluster(seed)
+            cluster.hosts[0].alive = False
+            first, rank = cluster.run(60.0, 75.0, 0)[0]
             self.assertLess(first - 60.0, 1.0)
             self.assertEqual(rank, 1)
 
-    def test_holder_killed_at_its_renewal(self):
+    def test_holder_killed_after_its_renewal_is_replaced(self):
         for seed in range(20):
-            first, _ = Orders(seed).play(60.0, 90.0, 1)[0]
+            first, _ = Cluster(seed).run(60.0, 90.0, 1)[0]
             self.assertGreater(first - 60.0, _TTL_S)
             self.assertLess(first - 60.0, _TTL_S + 1.2)
 
-    def test_two_holders_killed_at_once_in_a_row(self):
-        """Each is waited for in full, and not much longer."""
+    def test_two_holders_killed_in_a_row_are_replaced(self):
+        """The time to live of each lease passes, and not much more."""
         for seed in range(20):
-            first, _ = Orders(seed).play(60.0, 90.0, 2)[0]
+            first, _ = Cluster(seed).run(60.0, 90.0, 2)[0]
             self.assertGreater(first - 60.0, 2 * _TTL_S)
             self.assertLess(first - 60.0, 2 * _TTL_S + 2.0)
 
-    def test_host_that_ranks_first_steps_in_first(self):
-        calm = succession.LeaseStanding(0, False, True, 0.0)
+    def test_first_ranked_host_tries_first(self):
+        first_ranked = succession.LeaseStanding(0, False, True, 0.0)
         for rank in range(1, 8):
-            later = calm._replace(rank=rank)
+            later = first_ranked._replace(rank=rank)
             self.assertLess(
-                succession.compute_first_try_at(calm, 5.0, 1.0),
+                succession.compute_first_try_at(first_ranked, 5.0, 1.0),
                 succession.compute_first_try_at(later, 5.0, 0.0),
             )
             self.assertLess(
-                succession.compute_next_try_at(calm, 5.0, 1.0),
+                succession.compute_next_try_at(first_ranked, 5.0, 1.0),
                 succession.compute_next_try_at(later, 5.0, 0.0),
             )
 
-    def test_who_follows_late_does_not_ask_before_the_lease_is_over(self):
+    def test_low_ranked_host_waits_until_the_lease_has_expired(self):
         first = succession.LeaseStanding(0, False, True, 42.0)
         late = first._replace(rank=5)
         self.assertGreaterEqual(
--- a/tests/state/cluster/test_topic_copy.py
+++ b/tests/state/cluster/test_topic_copy.py
@@ -1,4 +1,4 @@
-"""Tests of copies of topics and of whom to read them from."""
+"""Tests of topic copies and of the selection of their source."""
 
 import unittest
 import zlib
@@ -33,25 +33,25 @@
 
 class TopicCopyTest(unittest.TestCase):
     @hypothesis.given(_changes, strategies.integers(0, 30))
-    def test_reader_of_a_copy_knows_what_the_copy_knows(self, changes, join):
+    def test_reader_of_a_copy_has_the_same_records(self, changes, first_read):
         copy = topic_copy.TopicCopy()
         copy.replace([], at(0))
         reader = topic_copy.TopicCopy()
         reader.replace([], at(0))
         for offset, (key, value) in enumerate(changes):
             copy.add(record(offset, key, value))
-            if offset >= join:
+            if offset >= first_read:
                 for each in copy.list_since(reader.position):
                     reader.add(each)
                 self.assertEqual(reader.newest, copy.newest)
 
-    def test_record_known_already_is_kept_for_those_who_read_from_here(self):
+    def test_known_record_is_kept_for_readers_of_the_copy(self):
         copy = topic_copy.TopicCopy()
         copy.replace([record(1, "a", b"2")], at(1))
         self.assertFalse(copy.add(record(1, "a", b"2")))
         self.assertEqual([r.position for r in copy.list_since(at(1))], [at(1)])
 
-    def test_records_that_cannot_be_read_are_passed_over(self):
+    def test_unreadable_records_are_skipped(self):
         copy = topic_copy.TopicCopy()
         copy.replace([], at(3))
         copy.advance(at(5))
@@ -59,13 +59,13 @@
         copy.advance(at(4))
         self.assertEqual(copy.position, at(5))
 
-    def test_reader_that_lags_behind_history_is_given_the_whole(self):
+    def test_reader_behind_the_history_gets_the_whole_copy(self):
         copy = topic_copy.TopicCopy()
         copy.replace([record(4, "a", b"1")], at(9))
         self.assertIsNone(copy.list_since(at(3)))
         self.assertEqual(copy.list_since(at(9)), [])
 
-    def test_replacing_tells_what_was_removed(self):
+    def test_replacement_reports_removed_keys(self):
         copy = topic_copy.TopicCopy()
         copy.replace([record(1, "a", b"1"), record(2, "b", b"1")], at(3))
         changes = copy.replace(
@@ -76,8 +76,8 @@
             [("a", b""), ("c", b"1")],
         )
 
-    def test_whole_topic_of_a_large_site_takes_little_of_a_link(self):
-        """75 hosts that start together ask one of them for it at once."""
+    def test_whole_topic_of_a_large_site_is_compressed(self):
+        """75 hosts that start together read it from one of them at once."""
         records = [
             record(
                 n,
@@ -92,7 +92,7 @@
         whole = sum(len(each.value) for each in records)
         self.assertLess(len(feed.pack_records(records)), whole / 5)
 
-    def test_page_survives_the_wire_and_others_are_refused(self):
+    def test_page_round_trips_and_malformed_ones_are_refused(self):
         page = feed.FeedPage(at(9, 2), True, 0.5, [record(4, "a", b"\x00")])
         packed = feed.pack_records(page.records)
         raw = feed.encode_page(page.position, page.whole, page.age_s, packed)
@@ -118,7 +118,7 @@
 
 
 def is_shorter(one, other):
-    """Stands for records whose values grow with time."""
+    """Treats the record with the shorter value as the older one."""
     return len(one.value) < len(other.value)
 
 
@@ -129,18 +129,18 @@
         return copy
 
     def restore(self, copy, *records, keeps_missing=False):
-        """Restores a copy in the next era; returns what that changed."""
+        """Restores a copy in the next era and returns the result."""
         return copy.restore(list(records), at(3, 2), is_shorter, keeps_missing)
 
-    # Guards against records that count as old for their lower offsets.
-    def test_change_of_the_new_era_counts_whatever_its_offset(self):
+    # Guards against treating a record as old because of its lower offset.
+    def test_change_of_the_new_era_counts_at_any_offset(self):
         copy = self.copy(record(8, "a", b"1", 1))
         found = self.restore(copy, record(2, "a", b"22", 2))
         self.assertEqual(found.changes, [record(2, "a", b"22", 2)])
         self.assertTrue(copy.add(record(3, "a", b"333", 2)))
         self.assertEqual(copy.newest["a"].value, b"333")
 
-    def test_older_value_changes_nothing_until_it_is_written_again(self):
+    def test_older_value_is_ignored_until_written_again(self):
         copy = self.copy(record(8, "a", b"22", 1))
         found = self.restore(copy, record(2, "a", b"1", 2))
         self.assertEqual(found, topic_copy.Replacement([], ["a"]))
@@ -163,14 +163,14 @@
         self.assertEqual(found, topic_copy.Replacement([], ["a"]))
         self.assertIn("a", copy.newest)
 
-    def test_reader_of_the_former_era_is_given_the_whole(self):
+    def test_reader_of_a_former_era_gets_the_whole_copy(self):
         copy = self.copy()
         self.restore(copy)
         self.assertIsNone(copy.list_since(at(3, 1)))
         self.assertIsNone(copy.list_since(at(99, 1)))
         self.assertEqual(copy.list_since(at(3, 2)), [])
 
-    def test_former_era_is_told_apart(self):
+    def test_copy_detects_a_newer_era(self):
         copy = self.copy(record(8, "a", b"1", 1))
         self.assertFalse(copy.is_restored_by(1))
         self.assertTrue(copy.is_restored_by(2))
@@ -186,13 +186,13 @@
             source.put(feed_source.HostEntry("far", "y", "far:1"))
         return sources
 
-    def test_host_that_is_alone_in_its_data_centre_reads_the_store(self):
+    def test_only_host_of_a_data_centre_reads_the_store(self):
         (source,) = self.sources(1)
         self.assertIsNone(source.pick(0.0))
         self.assertFalse(source.is_shared_reader())
         self.assertFalse(source.has_shared_reader())
 
-    def test_hosts_agree_on_one_that_reads_the_store(self):
+    def test_hosts_select_the_same_reader_of_the_store(self):
         for count in (2, 3, 9, 33):
             with self.subTest(count=count):
                 picked = [source.pick(0.0) for source in self.sources(count)]
@@ -201,7 +201,7 @@
                 self.assertEqual(len(names), 1)
                 self.assertNotIn("far", names)
 
-    def test_host_that_does_not_help_is_avoided_for_a_while(self):
+    def test_host_is_avoided_for_a_while_after_a_failed_read(self):
         source = next(s for s in self.sources(9) if s.pick(0.0))
         first = source.pick(0.0)
         source.avoid(first.name, 0.0)
@@ -212,6 +212,6 @@
         self.assertIsNone(source.pick(0.2))
         self.assertEqual(source.pick(9.0), first)
 
-    def test_ranks_for_a_duty_differ(self):
+    def test_duty_ranks_of_hosts_differ(self):
         ranks = [s.get_duty_rank("orders") for s in self.sources(5)]
         self.assertEqual(len(set(ranks)), 5)
