--- a/hillthread/state/routing/warmth.py
+++ b/hillthread/state/routing/warmth.py
@@ -144,7 +144,7 @@
             entry.pending += 1
 
     def remove_pending(self, levels: Sequence[prompt.PrefixLevel]) -> None:
-        """Undoes `add_pending` when the request ended without an answer."""
+        """Undoes `add_pending` and removes levels that were never cached."""
         for level in levels:
             entry = self.levels.get(level.digest)
             if entry is None or entry.pending == 0:
--- a/tests/state/cluster/test_lease.py
+++ b/tests/state/cluster/test_lease.py
@@ -5,7 +5,7 @@
 
 from hillthread.state.cluster import lease
 
-TTL = 3.0
+TTL_S = 3.0
 
 
 class Log:
@@ -22,7 +22,7 @@
     """A contender with its own clock that reads and pauses at random."""
 
     def __init__(self, name, offset_s, rng):
-        self.contender = lease.Contender(name, TTL)
+        self.contender = lease.Contender(name, TTL_S)
         self.offset_s = offset_s
         self.rng = rng
         self.paused_until = 0.0
@@ -39,7 +39,7 @@
         if now < self.paused_until:
             return
         if self.rng.random() < 0.02:
-            self.paused_until = now + self.rng.uniform(0, 3 * TTL)
+            self.paused_until = now + self.rng.uniform(0, 3 * TTL_S)
             return
         local_time = self.clock(now)
         if self.rng.random() < 0.7:
@@ -51,7 +51,7 @@
             local_time
         ) or self.contender.may_contend(local_time):
             record = self.contender.begin_append(local_time)
-            delay = self.rng.choice([0, 0, 0.05, 0.5, TTL])
+            delay = self.rng.choice([0, 0, 0.05, 0.5, TTL_S])
             self.pending_appends.append((now + delay, record))
 
 
@@ -79,7 +79,7 @@
             self.assertGreater(len(fencing), 100)
 
     def test_paused_holder_detects_that_its_lease_has_expired(self):
-        contender = lease.Contender("a", TTL)
+        contender = lease.Contender("a", TTL_S)
         contender.note_caught_up(0.0)
         record = contender.begin_append(0.0)
         contender.read(0, lease.encode_lease(record), 0.1)
@@ -103,8 +103,8 @@
 
 class ReleaseTest(unittest.TestCase):
     def test_released_lease_is_free_at_once_and_fencing_numbers_rise(self):
-        first = lease.Contender("a", TTL)
-        second = lease.Contender("b", TTL)
+        first = lease.Contender("a", TTL_S)
+        second = lease.Contender("b", TTL_S)
         log = Log()
         log.append(first.begin_append(0.0))
         for contender in (first, second):
--- a/tests/state/routing/test_target_choice.py
+++ b/tests/state/routing/test_target_choice.py
@@ -13,9 +13,11 @@
 NAMES = [f"e{n}" for n in range(5)]
 
 
-def make_view(name, queued_tokens=0.0, kept=0, shared=SHARED_TOKENS, **fields):
+def make_view(
+    name, queued_tokens=0.0, cached=0, shared=SHARED_TOKENS, **fields
+):
     """Returns the view of an idle target, with some fields replaced."""
-    needs = first_byte.PromptNeeds(shared, UNSHARED_TOKENS, kept, 0.0)
+    needs = first_byte.PromptNeeds(shared, UNSHARED_TOKENS, cached, 0.0)
     usual = {
         "data_centre": "here",
         "exclusion": None,
@@ -45,13 +47,13 @@
         By default that engine has cached the prefix, and no other has.
         """
         views = {name: make_view(name, shared=shared) for name in NAMES}
-        first = {"kept": shared, "shared": shared, **first}
+        first = {"cached": shared, "shared": shared, **first}
         views[self.order[0]] = make_view(self.order[0], **first)
-        weights = target_choice.EngineCosts(
+        costs = target_choice.EngineCosts(
             old_weights_s, COPY_S_PER_TOKEN, other_data_centre_s
         )
         return target_choice.choose_engine(
-            b"prefix", NAMES, views.__getitem__, weights, "here"
+            b"prefix", NAMES, views.__getitem__, costs, "here"
         )
 
     def test_prefix_stays_on_its_warm_engine(self):
@@ -69,9 +71,9 @@
     def test_engine_with_a_copy_is_chosen_over_an_empty_one(self):
         views = {name: make_view(name) for name in NAMES}
         views[self.order[0]] = make_view(
-            self.order[0], queued_tokens=9_000, kept=0
+            self.order[0], queued_tokens=9_000, cached=0
         )
-        views[self.order[2]] = make_view(self.order[2], kept=SHARED_TOKENS)
+        views[self.order[2]] = make_view(self.order[2], cached=SHARED_TOKENS)
         choice = target_choice.choose_engine(
             b"prefix",
             NAMES,
@@ -89,12 +91,12 @@
         self.assertEqual(self.choose(other_data_centre_s=0.05, **away).rank, 0)
 
     def test_excluded_target_is_not_chosen(self):
-        lost = target_choice.Exclusion.UNREACHABLE
-        choice = self.choose(exclusion=lost)
+        unreachable = target_choice.Exclusion.UNREACHABLE
+        choice = self.choose(exclusion=unreachable)
         self.assertEqual(choice.rank, 1)
         self.assertIn("unreachable", choice.reason)
 
     def test_cost_of_old_weights_is_added(self):
-        old = {"behind": True, "kept": 0}
+        old = {"behind": True, "cached": 0}
         self.assertEqual(self.choose(old_weights_s=0.0, **old).rank, 0)
         self.assertEqual(self.choose(old_weights_s=0.3, **old).rank, 1)
