--- a/hillthread/state/quotas/__init__.py
+++ b/hillthread/state/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Limits: quotas, limits of targets, retry budgets, admission."""
+"""Quotas, target limits, retry budgets and admission control."""
--- a/hillthread/state/quotas/admission.py
+++ b/hillthread/state/quotas/admission.py
@@ -1,4 +1,4 @@
-"""The queue before a pool: by class, bounded by size and by deadline."""
+"""Priority queue of requests that wait for a free target of a pool."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Ticket:
-    """One waiting request.
+    """A place in the queue for one request.
 
     Attributes:
-        priority: Smaller is served first.
-        deadline: Seconds; the request is of no use later.
+        priority: Priority class; a smaller number is served first.
+        deadline: Time in seconds after which the answer is useless.
         sequence: Order of arrival within a class.
     """
 
@@ -27,11 +27,11 @@
 
 
 class Offer(NamedTuple):
-    """The outcome of offering a request to the queue.
+    """Result of offering a request to the queue.
 
     Attributes:
         ticket: The place in the queue, or None when refused.
-        shed: A waiting ticket of a lower class that had to go, or None.
+        shed: A waiting ticket of a lower class that was evicted, or None.
     """
 
     ticket: Ticket | None
@@ -39,11 +39,12 @@
 
 
 class AdmissionQueue:
-    """Requests that wait for a free target, the most urgent class first.
+    """Requests that wait for a free target, ordered by class and arrival.
 
     Attributes:
-        size: Tickets that wait at most.
-        served_per_s: Smoothed rate at which tickets leave to be served.
+        capacity: Maximum number of waiting tickets.
+        served_per_s: Moving average of the rate at which tickets are served.
+        last_served_at: Seconds; None before the first ticket is served.
     """
 
     def __init__(self, capacity: int):
@@ -59,17 +60,17 @@
         return len(self._waiting)
 
     def expected_wait_s(self, priority: int) -> float:
-        """Returns the expected wait of a new ticket; 0 when unknown."""
+        """Returns the expected wait of a new ticket; 0 if unknown."""
         if self.served_per_s <= 0:
             return 0.0
         ahead = self._waiting.bisect_key_right((priority, float("inf")))
         return ahead / self.served_per_s
 
     def offer(self, priority: int, deadline: float, now: float) -> Offer:
-        """Asks for a place.
+        """Adds a request to the queue or refuses it.
 
-        The request is refused at once when its deadline would pass in the
-        queue, or when the queue is full of requests at least as urgent.
+        The request is refused if its deadline would pass in the queue, or if
+        the queue is full of requests that are at least as urgent.
         """
         if now + self.expected_wait_s(priority) > deadline:
             return Offer(None, None)
@@ -85,15 +86,15 @@
         return Offer(ticket, shed)
 
     def first(self) -> Ticket | None:
-        """Returns the ticket to be served next, or None."""
+        """Returns the next ticket to serve, or None if the queue is empty."""
         return self._waiting[0] if self._waiting else None
 
     def in_order(self) -> list[Ticket]:
-        """Returns all tickets, the one to be served next first."""
+        """Returns all tickets in the order in which they are served."""
         return list(self._waiting)
 
     def serve(self, ticket: Ticket, now: float) -> None:
-        """Takes out a ticket because its request can be sent."""
+        """Removes a ticket whose request is sent, and updates the rate."""
         self._waiting.remove(ticket)
         if self.last_served_at is not None:
             gap = max(1e-4, now - self.last_served_at)
@@ -101,6 +102,6 @@
         self.last_served_at = now
 
     def withdraw(self, ticket: Ticket) -> None:
-        """Takes out a ticket whose request has ended; idempotent."""
+        """Removes a ticket whose request has ended; idempotent."""
         if ticket in self._waiting:
             self._waiting.remove(ticket)
--- a/hillthread/state/quotas/aim_admission.py
+++ b/hillthread/state/quotas/aim_admission.py
@@ -1,15 +1,15 @@
-"""Whether a prompt is sent though its answer is expected to begin late.
+"""Refuses prompts that would miss their first-byte objective in a queue.
 
-Pattern: engines are lost, or load new weights, while as many prompts come as
-before. Queues grow beyond the aim, and from then on nearly every answer is
-late: each prompt that is sent delays all behind it, the ones that could still
-be in time included. Who returns when the queue is over costs nobody anything.
+When engines are lost or load new weights at unchanged demand, their queues grow
+longer than the objective. From then on nearly every answer is late, because
+each prompt that is sent delays all prompts behind it, also those that could
+still be on time. A refused caller that retries once the queue has drained
+delays nobody.
 
-A prompt that is late for its own length alone is sent: it waits for nobody.
+A prompt that is late only because of its own length is sent, as it does not
+wait for others.
 
-What it buys is hardly beyond chance: 0.01 of the worth of all requests on days
-with lost engines and new weights (means of eight plays, refusals off and on),
-where two such means of one policy differ by 0.006.
+The gain on days with lost engines and new weights is small.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 
 __all__ = ["is_queue_too_long", "queue_drain_s"]
 
-# Of the aim: a queue as long as the aim leaves no time to read the prompt.
-_LONGEST_QUEUE_SHARE = 1.0
+# As a share of the objective: a queue as long as the objective leaves no time
+# for the prefill of the prompt itself.
+_MAX_QUEUE_SHARE = 1.0
 
 
 def is_queue_too_long(expected: first_byte.Estimate, aim_s: float) -> bool:
-    """Returns whether a prompt would be late, and delay others.
+    """Returns whether queueing alone would miss the first-byte objective.
 
     Args:
-        expected: Of the engine that costs least.
-        aim_s: To the first byte; 0 when there is none.
+        expected: Estimate for the engine with the lowest cost.
+        aim_s: Objective for the first byte; 0 if there is none.
     """
-    return aim_s > 0.0 and expected.queue_s >= aim_s * _LONGEST_QUEUE_SHARE
+    return aim_s > 0.0 and expected.queue_s >= aim_s * _MAX_QUEUE_SHARE
 
 
 def queue_drain_s(expected: first_byte.Estimate) -> float:
-    """Returns after how long the queue is over if nothing else comes."""
+    """Returns the time until the queue is empty if no prompt is added."""
     return expected.queue_s
--- a/hillthread/state/quotas/limits.py
+++ b/hillthread/state/quotas/limits.py
@@ -1,4 +1,4 @@
-"""Tenant limits, spent locally from this router's share."""
+"""Enforces tenant limits within the share of one router."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 
 __all__ = ["TenantUsage", "TokenBucket"]
 
-# A bucket holds what is earned in this time, and one request at least.
+# A bucket holds the refill of this time, but at least one unit.
 _BURST_S = 0.5
 
 
 class TokenBucket:
-    """A rate with a burst of half a second's worth.
+    """Token bucket that holds the refill of half a second.
 
     Attributes:
-        rate: Units a second.
-        balance: Units to spend; negative after an overdraft.
+        rate: Refill in units per second.
+        balance: Available units; negative after an overdraft.
+        updated_at: Seconds, when the balance was last refilled.
     """
 
     def __init__(self, rate: float, now: float):
@@ -24,30 +25,31 @@
         self.updated_at = now
 
     def refill(self, now: float) -> None:
-        """Adds what was earned until `now`, seconds."""
-        earned = (now - self.updated_at) * self.rate
+        """Adds the refill of the time up to `now`, in seconds."""
+        added = (now - self.updated_at) * self.rate
         self.updated_at = now
-        self.balance = min(
-            max(1.0, self.rate * _BURST_S), self.balance + earned
-        )
+        self.balance = min(max(1.0, self.rate * _BURST_S), self.balance + added)
 
     def wait_s(self, now: float, amount: float = 1.0) -> float:
-        """Returns seconds until `amount` can be spent; 0 if now."""
+        """Returns the seconds until `amount` is available; 0 if it is."""
         self.refill(now)
         missing = min(amount, max(1.0, self.rate * _BURST_S)) - self.balance
         return max(0.0, missing / self.rate)
 
     def spend(self, amount: float) -> None:
-        """Takes out `amount`, below zero if need be."""
+        """Subtracts `amount`; the balance may become negative."""
         self.balance -= amount
 
 
 class TenantUsage:
-    """What one tenant uses through one router.
+    """Usage of one tenant through one router.
 
     Attributes:
-        running: Requests admitted and not ended.
-        share: The part of the tenant's limits this router may spend.
+        limits: The tenant's limits.
+        share: Share of these limits that this router may use.
+        running: Admitted requests that have not ended.
+        requests: Bucket of requests; None without a request rate limit.
+        tokens: Bucket of tokens; None without a token rate limit.
     """
 
     def __init__(self, limits: objects.Limits, share: float, now: float):
@@ -60,20 +62,20 @@
     def set_limits(
         self, limits: objects.Limits, share: float, now: float
     ) -> None:
-        """Takes over changed limits or a changed share, keeping usage."""
+        """Applies changed limits or a changed share; usage is kept."""
         if limits == self.limits and share == self.share:
             return
         self.limits = limits
         self.share = share
-        self.requests = _adopted(
+        self.requests = _carry_balance(
             self.requests, self._bucket(limits.requests_per_s, now), now
         )
-        self.tokens = _adopted(
+        self.tokens = _carry_balance(
             self.tokens, self._bucket(limits.tokens_per_s, now), now
         )
 
     def refusal_wait_s(self, now: float) -> float | None:
-        """Returns None when a request is allowed, else seconds to wait."""
+        """Returns None if a request is allowed, else the seconds to wait."""
         limit = self.limits.concurrency
         if limit and self.running >= max(1, int(limit * self.share)):
             return 1.0
@@ -85,13 +87,13 @@
         return wait if wait > 0 else None
 
     def begin(self) -> None:
-        """Notes an admitted request."""
+        """Counts an admitted request."""
         self.running += 1
         if self.requests is not None:
             self.requests.spend(1.0)
 
     def end(self, tokens: float) -> None:
-        """Notes an ended request that used `tokens`."""
+        """Counts a request that has ended after using `tokens`."""
         self.running -= 1
         if self.tokens is not None:
             self.tokens.spend(tokens)
@@ -100,12 +102,12 @@
         return TokenBucket(rate * self.share, now) if rate else None
 
 
-def _adopted(
+def _carry_balance(
     old: TokenBucket | None, new: TokenBucket | None, now: float
 ) -> TokenBucket | None:
-    """Returns `new` with what is left in `old`.
+    """Returns `new` with at most the balance of `old`.
 
-    A change of rate must not give a new burst: shares change all the time.
+    Shares change all the time, so a changed rate must not grant a new burst.
     """
     if old is None or new is None:
         return new
--- a/hillthread/state/quotas/quota.py
+++ b/hillthread/state/quotas/quota.py
@@ -1,26 +1,27 @@
-"""Quotas of organisations: what all hosts together may send for each.
-
-Over any window of some seconds an organisation may send its rate for as long
-and its burst. Two things keep that, on every host, of what was sent here and
-elsewhere as soon as it is known:
-
-- A *pace*: a token bucket that earns the limit of a window in its length. What
-  is asked beyond the quota is spread over the window, and not sent all at once
-  and then nothing. It starts empty, which is safe whatever was sent before by a
-  process that has ended.
-- A *window*: what was sent in the last window, which stays below the limit.
-
-A window alone is not enough. A host that starts again does not know when what
-counts was sent; assuming it was sent evenly, 90 hosts of which a third started
-again sent 6.9 million tokens where 6.1 million were allowed. Nor is a bucket of
-the quota's own rate and burst: it allows an eighth less in all windows but the
-first, and refuses callers whose organisation is below its quota.
-
-A host that hears only some of the others earns, and holds, only their part: the
-two sides of a cut together never send more than the whole.
-
-The last request may go beyond what is left. If the whole of a request had to
-fit, small ones would get through while large ones never do.
+"""Enforces the quota of an organisation, which all hosts share.
+
+In any window of a few seconds an organisation may use the window's length times
+its rate, plus its burst. Every host enforces this with two mechanisms, which
+count its own usage at once and that of other hosts as soon as it is known:
+
+- A token bucket whose refill during one window equals the window's limit. It
+  spreads excess demand over the window, instead of admitting a burst and then
+  nothing. It starts empty, which is safe whatever a previous process has sent.
+- A sliding window over recent usage, which must stay below the limit.
+
+A sliding window alone is not enough. A host that restarts does not know when
+past usage occurred. On the assumption that it was spread evenly, 90 hosts, a
+third of which had restarted, sent 6.9 million tokens where 6.1 million were
+allowed. A token bucket with the quota's own rate and burst is not enough
+either: in all windows but the first it allows an eighth less, and refuses
+callers whose organisation is below its quota.
+
+A host that reaches only some of the hosts scales refill and capacity of its
+bucket to their share, so the two sides of a network partition together never
+use more than the quota.
+
+A request is admitted if anything remains, even if it needs more. If the whole
+request had to fit, small requests would be admitted while large ones starve.
 """
 
 from __future__ import annotations
@@ -32,23 +33,24 @@
 
 __all__ = ["QuotaBounds", "QuotaWindow", "request_cost"]
 
-# What was sent is kept by slots of this length: 80 in a window of 8 s.
+# Length of the slots that usage is recorded in: 80 in a window of 8 s.
 _SLOT_S = 0.1
-# The pace holds this part of what is allowed beyond the limit: the bursts of
-# ordinary use fit in, and the rest is left for what hosts do not know yet.
+# Capacity of the bucket as a share of the tolerated overshoot. Ordinary bursts
+# fit in; the rest is left for usage that hosts do not know of yet.
 _BURST_SHARE = 0.25
-# It holds what is earned in this time at least, where nothing is allowed.
-_LEAST_BURST_S = 0.1
+# Minimum capacity as a time of refill, for quotas without tolerated overshoot.
+_MIN_BURST_S = 0.1
 
 
 class QuotaBounds(NamedTuple):
-    """How quotas are judged.
+    """Window and tolerance for which quotas are enforced.
+
+    The overshoot tolerates usage that hosts do not know of each other yet.
 
     Attributes:
-        window_s: Over any span of this length.
-        over: What is allowed beyond the limit, as a share of it, for what
-            hosts do not know of each other.
-        slack: The same, in units.
+        window_s: Length of the sliding window in seconds.
+        overshoot_share: Tolerated usage beyond the limit, as a share of it.
+        overshoot_units: Tolerated usage beyond that, in units.
     """
 
     window_s: float = 8.0
@@ -57,11 +59,11 @@
 
 
 def request_cost(quota: objects.Quota, tokens: int | None) -> float:
-    """Returns what a request takes out of its organisation's quota.
+    """Returns the units that a request uses of its organisation's quota.
 
     Args:
         quota: The quota.
-        tokens: Of its prompt and its longest answer; None when not told.
+        tokens: Tokens of the prompt and the longest answer; None if unknown.
     """
     match quota.unit:
         case objects.QuotaUnit.TOKENS if tokens is not None:
@@ -73,16 +75,18 @@
 
 
 class QuotaWindow:
-    """What an organisation has sent, and may send, as one host knows it.
+    """Usage of one quota as one host knows it.
 
     Attributes:
-        quota: In force.
-        bounds: How it is judged.
-        part: Hosts in touch with this one, of all, itself included.
+        quota: The current quota.
+        bounds: Window and tolerance of the quota.
+        reachable_share: Share of all hosts that are reachable, including this
+            one.
         used: Units sent in the last window.
-        refused: Requests refused so far.
-        recalls_until: Seconds; what others tell before that was sent before
-            they were asked to tell.
+        refused: Number of refused requests.
+        past_usage_until: Time in seconds until which the usage that peers
+            report counts as past usage, because it occurred before they were
+            asked to report it.
     """
 
     def __init__(self, quota: objects.Quota, bounds: QuotaBounds, now: float):
@@ -95,54 +99,54 @@
         self._balance = 0.0
         self._updated_at = now
         self._slots: collections.deque[tuple[int, float]] = collections.deque()
-        self._returns_until = now
+        self._last_retry_at = now
 
     @property
     def limit(self) -> float:
-        """Units that all hosts together may send in a window."""
+        """Units that all hosts together may use in a window."""
         window_s = self.bounds.window_s
         return self.quota.rate_per_s * window_s + self.quota.burst
 
     @property
     def refill_per_s(self) -> float:
-        """Units that the hosts in touch earn in a second."""
+        """Refill of the bucket in units per second, for the reachable hosts."""
         return self.limit / self.bounds.window_s * self.reachable_share
 
     @property
     def capacity(self) -> float:
-        """Units that the hosts in touch may send at once."""
-        beyond = (
+        """Capacity of the bucket in units, for the reachable hosts."""
+        overshoot = (
             self.limit * self.bounds.overshoot_share
             + self.bounds.overshoot_units
         )
-        least = self.limit / self.bounds.window_s * _LEAST_BURST_S
-        return max(beyond * _BURST_SHARE, least) * self.reachable_share
+        min_burst = self.limit / self.bounds.window_s * _MIN_BURST_S
+        return max(overshoot * _BURST_SHARE, min_burst) * self.reachable_share
 
     def refresh(self, now: float, reachable_share: float) -> None:
-        """Brings it up to date: so much of all hosts is in touch."""
+        """Refills the bucket and drops usage that has left the window."""
         self.reachable_share = reachable_share
-        earned = (now - self._updated_at) * self.refill_per_s
+        refill = (now - self._updated_at) * self.refill_per_s
         self._updated_at = now
-        self._balance = min(self.capacity, self._balance + max(0.0, earned))
+        self._balance = min(self.capacity, self._balance + max(0.0, refill))
         last = int((now - self.bounds.window_s) / _SLOT_S)
         while self._slots and self._slots[0][0] < last:
             self.used -= self._slots.popleft()[1]
         if not self._slots:
-            self.used = 0.0  # sums of what came and went are not exact
+            self.used = 0.0  # Removes accumulated rounding errors.
 
     def remaining(self) -> float:
-        """Returns what may still be sent; below 0 when it is too much."""
+        """Returns the units that may still be used; below 0 if overused."""
         return min(self._balance, self.limit - self.used)
 
     def is_low(self) -> bool:
-        """Returns whether less than half of its capacity is left."""
+        """Returns whether less than half of the capacity remains."""
         return self.remaining() < self.capacity / 2
 
     def spend(self, amount: float, now: float) -> None:
-        """Counts what was sent, here or elsewhere; negative gives back.
+        """Counts usage of any host; a negative amount is a refund.
 
-        The pace owes what a window earns at most: after a window without a
-        send nothing is left that could count.
+        The debt of the bucket is bounded by the refill of one window, because
+        usage no longer counts once it has left the window.
         """
         balance = min(self.capacity, self._balance - amount)
         self._balance = max(-self.limit * self.reachable_share, balance)
@@ -153,35 +157,35 @@
         self._slots.append((number, amount))
 
     def add_peer_usage(self, amount: float, now: float) -> None:
-        """Counts what others tell that they have sent."""
+        """Counts usage that peers report."""
         if now < self.past_usage_until:
             self.add_past_usage(amount, now)
         else:
             self.spend(amount, now)
 
     def add_past_usage(self, amount: float, now: float) -> None:
-        """Counts what was sent during the last window, before this was kept.
+        """Counts usage of the last window that occurred at an unknown time.
 
-        When is not known: it counts as sent evenly. The pace owes none of it.
+        It is spread evenly over the window and not taken from the bucket.
         """
         last = int(now / _SLOT_S)
         numbers = range(int((now - self.bounds.window_s) / _SLOT_S), last + 1)
-        each = amount / len(numbers)
+        slot_amount = amount / len(numbers)
         slots = dict(self._slots)
         for number in numbers:
-            slots[number] = slots.get(number, 0.0) + each
+            slots[number] = slots.get(number, 0.0) + slot_amount
         self._slots = collections.deque(sorted(slots.items()))
         self.used += amount
 
     def set_quota(self, quota: objects.Quota) -> None:
-        """Takes over a changed quota; the change itself earns nothing.
+        """Replaces the quota without refilling the bucket.
 
-        With a lower one the same share of it is used as before: what was sent
-        was allowed then.
+        If the limit decreases, usage is scaled down to the same share of it,
+        because it was allowed when it occurred.
         """
-        before = self.limit
+        previous_limit = self.limit
         self.quota = quota
-        share = self.limit / before
+        share = self.limit / previous_limit
         if share < 1.0:
             self.used *= share
             self._slots = collections.deque(
@@ -190,21 +194,21 @@
             self._balance = min(self.capacity, self._balance * share)
 
     def refuse(self, now: float, amount: float, hosts: int) -> float:
-        """Notes a refusal; returns after how long its caller may return.
+        """Counts a refusal and returns the seconds after which to retry.
 
-        Those refused return one after the other, as fast as this host's part
-        of the quota is earned: if all came as soon as anything may be sent,
-        most would be refused again.
+        Retries of refused callers are spaced at the rate at which this host's
+        share of the quota is refilled. If all retried as soon as anything
+        remains, most would be refused again.
 
         Args:
-            now: Seconds, of the last look.
-            amount: What the request would have used.
-            hosts: Hosts that refuse as much as this one.
+            now: Time of the last refresh in seconds.
+            amount: Units that the request would have used.
+            hosts: Number of hosts that refuse at the same rate as this one.
         """
         self.refused += 1
         free_at = now + max(0.0, -self.remaining()) / self.refill_per_s
-        last_at = now + self.bounds.window_s
-        returns_at = min(max(free_at, self._returns_until), last_at)
-        own_per_s = self.limit / self.bounds.window_s / hosts
-        self._returns_until = returns_at + amount / own_per_s
-        return returns_at - now
+        latest_at = now + self.bounds.window_s
+        retry_at = min(max(free_at, self._last_retry_at), latest_at)
+        host_refill_per_s = self.limit / self.bounds.window_s / hosts
+        self._last_retry_at = retry_at + amount / host_refill_per_s
+        return retry_at - now
--- a/hillthread/state/quotas/quota_ledger.py
+++ b/hillthread/state/quotas/quota_ledger.py
@@ -1,8 +1,8 @@
-"""All quotas as one host keeps them: what is left, what others have used.
+"""All quotas on one host, including the usage of other hosts.
 
-Joins `quota.py`, how one quota is spent, and `usage_exchange.py`, what hosts
-tell each other of it. What else all hosts together may send only so much of
-stands beside the quotas of organisations: see `target_limits.py`.
+Connects `quota.py`, which enforces one quota, with `usage_exchange.py`, through
+which hosts report usage to each other. Target limits are counted in the same
+way next to the quotas of organisations; see `target_limits.py`.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from hillthread.state.quotas import quota as quota_lib
 from hillthread.state.quotas import usage_exchange
 
-__all__ = ["QuotaLedger", "QuotaCheck"]
+__all__ = ["QuotaCheck", "QuotaLedger"]
 
-# All untold use together, as a part of what may be sent at once, while an
-# organisation is far from its quota.
-_UNTOLD_SHARE = 0.5
-# A moment's use changes what others may send when little is left: all of it is
-# due, and first of those that use up their quota fastest.
-_LOW_URGENCY = 1_000.0
+# Usage of all hosts that may remain unreported while an organisation is far
+# from its quota, as a share of the bucket's capacity.
+_UNREPORTED_SHARE = 0.5
+# Added to the urgency when a quota is low, where even little usage changes what
+# other hosts may send: all is due, beginning with the quotas used fastest.
+_LOW_QUOTA_URGENCY = 1_000.0
 
 
 class QuotaCheck(NamedTuple):
-    """How an organisation stands when it sends a request.
+    """State of an organisation's quota when it sends a request.
 
     Attributes:
-        window: What it has sent, as of now; None without a quota.
-        amount: What the request uses.
-        left: What may still be sent; below 0 when it is too much.
+        window: Current usage; None without a quota.
+        amount: Units that the request uses.
+        remaining: Units that may still be used; below 0 if overused.
     """
 
     window: quota_lib.QuotaWindow | None
@@ -42,17 +42,19 @@
     """The quotas of all organisations, on one host.
 
     Attributes:
-        exchange: What this host tells and hears of use.
-        windows: What was sent, by organisation.
-        by_key: All that is counted over all hosts, by what stands for it:
-            these quotas, and what others have put beside them.
-        bounds: How quotas are judged.
-        hosts: Hosts that share the quotas, this one included.
+        exchange: Exchanges usage with other hosts.
+        windows: Usage by organisation.
+        windows_by_key: All usage that is counted over all hosts, by key: these
+            quotas, and the limits that `TargetLimits` adds.
+        bounds: Window and tolerance of the quotas.
+        host_count: Hosts that share the quotas, including this one.
     """
 
-    def __init__(self, host: str, start: int, bounds: quota_lib.QuotaBounds):
+    def __init__(
+        self, host: str, incarnation: int, bounds: quota_lib.QuotaBounds
+    ):
         self.exchange = usage_exchange.UsageExchange(
-            usage_exchange.name_key(host), start, self._urgency
+            usage_exchange.name_key(host), incarnation, self._report_urgency
         )
         self.windows: dict[str, quota_lib.QuotaWindow] = {}
         self.bounds = bounds
@@ -62,7 +64,7 @@
     def set_quotas(
         self, quotas: Mapping[str, objects.Quota], now: float
     ) -> None:
-        """Puts quotas in force, by organisation."""
+        """Replaces all quotas; usage of those that remain is kept."""
         reachable_share = self.reachable_share(now)
         for name in self.windows:
             self.windows_by_key.pop(usage_exchange.name_key(name), None)
@@ -79,11 +81,11 @@
             self.windows_by_key[usage_exchange.name_key(name)] = window
 
     def reachable_share(self, now: float) -> float:
-        """Returns how many hosts are in touch with this one, of all."""
+        """Returns the share of all hosts that are reachable."""
         return min(1.0, self.exchange.reachable_hosts(now) / self.host_count)
 
     def refresh(self, now: float) -> None:
-        """Brings all quotas up to date."""
+        """Refreshes all quotas."""
         reachable_share = self.reachable_share(now)
         for window in self.windows.values():
             window.refresh(now, reachable_share)
@@ -91,7 +93,7 @@
     def check_request(
         self, name: str, tokens: int | None, now: float
     ) -> QuotaCheck:
-        """Returns how an organisation stands that sends a request."""
+        """Returns the state of the quota for a request of an organisation."""
         window = self.windows.get(name)
         if window is None:
             return QuotaCheck(None)
@@ -100,18 +102,18 @@
         return QuotaCheck(window, amount, window.remaining())
 
     def charge(self, name: str, amount: float, now: float) -> bool:
-        """Counts what is sent; negative gives back what has not run.
+        """Counts usage of an organisation; a negative amount is a refund.
 
         Returns:
-            Whether other hosts are to be told soon.
+            Whether a report to other hosts is due.
         """
         return self.charge_key(usage_exchange.name_key(name), amount, now)
 
     def charge_key(self, key: int, amount: float, now: float) -> bool:
-        """Counts what is sent of anything that is counted over all hosts.
+        """Counts usage of a quota or a target limit.
 
         Returns:
-            Whether other hosts are to be told soon.
+            Whether a report to other hosts is due.
         """
         window = self.windows_by_key.get(key)
         if window is None:
@@ -121,22 +123,24 @@
         return self.report_usage(key, amount, now)
 
     def report_usage(self, key: int, amount: float, now: float) -> bool:
-        """Has other hosts told of what was sent; returns whether soon."""
+        """Adds usage to the next report; returns whether one is due."""
         self.exchange.add_usage(key, amount)
         return self.exchange.is_report_due(now, self.host_count)
 
     def add_peer_usage(self, added: Mapping[int, float], now: float) -> None:
-        """Takes in what others have sent, by the key of the organisation."""
+        """Adds usage of other hosts, by key."""
         for key, amount in added.items():
             window = self.windows_by_key.get(key)
             if window is not None and amount:
                 window.refresh(now, self.reachable_share(now))
                 window.add_peer_usage(amount, now)
 
-    def _urgency(self, key: int, amount: float, sharers: int) -> float:
-        """Returns how urgent it is to tell of use; below 1 it is not due."""
+    def _report_urgency(self, key: int, amount: float, reporters: int) -> float:
+        """Returns the urgency of reporting usage; below 1 it is not due."""
         window = self.windows_by_key.get(key)
         if window is None:
             return 1.0
-        untold = amount * sharers / (window.capacity * _UNTOLD_SHARE)
-        return untold + _LOW_URGENCY if window.is_low() else untold
+        unreported = amount * reporters / (window.capacity * _UNREPORTED_SHARE)
+        return (
+            unreported + _LOW_QUOTA_URGENCY if window.is_low() else unreported
+        )
--- a/hillthread/state/quotas/retry_budget.py
+++ b/hillthread/state/quotas/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: retries are a share of requests over a sliding window."""
+"""Limits retries to a share of the requests in a sliding window."""
 
 from __future__ import annotations
 
@@ -6,46 +6,49 @@
 
 __all__ = ["RetryBudget"]
 
-# Window over which requests earn retries.
+# Window over which first attempts and retries are counted.
 _WINDOW_S = 10.0
-# Retries in a window beyond what requests earn, unless the caller sets another.
-_EXTRA = 3.0
+# Default number of retries in a window beyond those that accrue.
+_EXTRA_RETRIES = 3.0
 
 
 class RetryBudget:
-    """Bounds retries to a share of first attempts, so that none storm.
+    """Bounds retries to a share of first attempts, to prevent retry storms.
 
-    Both are counted over the same sliding window: what was not spent in one
-    window is not carried into the next.
+    Both are counted over the same sliding window, so retries that were not used
+    in one window are not available in the next.
 
     Attributes:
-        ratio: Retries that each first attempt earns.
-        extra: Retries allowed in a window beyond what requests earn.
-        window_s: Length of the window, seconds.
+        ratio: Retries that accrue with each first attempt.
+        extra: Retries allowed in a window beyond those that accrue.
+        window_s: Length of the window in seconds.
     """
 
     def __init__(
-        self, ratio: float, extra: float = _EXTRA, window_s: float = _WINDOW_S
+        self,
+        ratio: float,
+        extra: float = _EXTRA_RETRIES,
+        window_s: float = _WINDOW_S,
     ):
         self.ratio = ratio
         self.extra = extra
         self.window_s = window_s
-        self._first: collections.deque[float] = collections.deque()
+        self._first_attempts: collections.deque[float] = collections.deque()
         self._retries: collections.deque[float] = collections.deque()
 
     def deposit(self, now: float) -> None:
-        """Notes a first attempt, at `now` seconds."""
-        self._first.append(now)
+        """Counts a first attempt at `now`, in seconds."""
+        self._first_attempts.append(now)
         self._expire(now)
 
     def remaining(self, now: float) -> float:
-        """Returns the retries that may still be made."""
+        """Returns the number of retries that are still allowed."""
         self._expire(now)
-        earned = self.extra + self.ratio * len(self._first)
-        return earned - len(self._retries)
+        accrued = self.extra + self.ratio * len(self._first_attempts)
+        return accrued - len(self._retries)
 
     def withdraw(self, now: float) -> bool:
-        """Returns whether a retry is allowed, and notes it if so."""
+        """Returns whether a retry is allowed, and counts it if so."""
         if self.remaining(now) < 1.0:
             return False
         self._retries.append(now)
@@ -53,6 +56,6 @@
 
     def _expire(self, now: float) -> None:
         oldest = now - self.window_s
-        for times in (self._first, self._retries):
+        for times in (self._first_attempts, self._retries):
             while times and times[0] <= oldest:
                 times.popleft()
--- a/hillthread/state/quotas/return_time.py
+++ b/hillthread/state/quotas/return_time.py
@@ -1,30 +1,30 @@
-"""When callers that were refused may come back, and in which order.
+"""Staggers the retry times of refused callers.
 
-Callers that were refused together and told the same time would come back
-together, and be refused again. Each class gets a span of its own, the most
-urgent the first, and each caller a moment within it.
+Callers that are refused together and given the same retry time would come back
+together and be refused again. Each priority class therefore gets an interval of
+its own, the most urgent class the first, and each caller a random time in it.
 """
 
 from __future__ import annotations
 
 __all__ = ["staggered_retry_after_s"]
 
-# Length of the span of one class, as a share of the least time. With three
-# classes the last come back after 1.75 times the least.
+# Length of the interval of one class, as a share of the minimum wait. With
+# three classes the last callers retry after 1.75 times the minimum.
 _SPAN_SHARE = 0.25
-# Classes beyond this one share its span: nobody is to wait for long.
-_LAST_SPAN = 3
+# All classes beyond this one share its interval, which bounds the wait.
+_MAX_SPAN = 3
 
 
 def staggered_retry_after_s(
-    least_s: float, priority: int, draw: float
+    least_s: float, priority: int, fraction: float
 ) -> float:
-    """Returns after how long a caller should come back, seconds.
+    """Returns the seconds after which a refused caller should retry.
 
     Args:
-        least_s: When the first of those refused now may come back.
-        priority: Class of the request, 0 first.
-        draw: From 0 up to 1, drawn for each caller.
+        least_s: Minimum wait of the callers that are refused now.
+        priority: Priority class of the request; 0 is the most urgent.
+        fraction: Random number of the caller, from 0 up to 1.
     """
-    span = min(max(0, priority), _LAST_SPAN)
-    return least_s * (1.0 + _SPAN_SHARE * (span + draw))
+    span = min(max(0, priority), _MAX_SPAN)
+    return least_s * (1.0 + _SPAN_SHARE * (span + fraction))
--- a/hillthread/state/quotas/shares.py
+++ b/hillthread/state/quotas/shares.py
@@ -1,8 +1,9 @@
-"""Shares of tenants' limits that follow demand, without asking for each use.
+"""Divides tenant limits among routers in proportion to their demand.
 
-Each router tells the others of its data centre how much its callers want, and
-spends its part of the whole. What others told gets old and is forgotten; a
-router that hears nobody falls back to an equal part.
+Each router reports the demand of its callers to the other routers of its data
+centre and uses its share of each limit without further coordination. Reports
+expire; while the current report of another router is missing, a router uses an
+equal share.
 """
 
 from __future__ import annotations
@@ -11,76 +12,79 @@
 
 __all__ = ["DemandShares"]
 
-# Weight of the last interval in the demand that is told.
+# Weight of the last interval in the moving average of demand.
 _SMOOTHING = 0.5
-# What others told counts for so long: four of the intervals of 1 s.
-_FORGET_S = 4.0
-# Least share, as a part of an equal one, so that new callers get a start.
-_FLOOR = 0.1
-# Requests a second below which a tenant is told no more.
-_IDLE_RATE = 0.01
+# Age at which a report expires: four of the intervals of 1 s.
+_PEER_TIMEOUT_S = 4.0
+# Minimum share relative to an equal one, so that new callers are admitted.
+_MIN_OF_EQUAL_SHARE = 0.1
+# Demand in requests per second below which a tenant is no longer reported.
+_IDLE_PER_S = 0.01
 
 
 class DemandShares:
-    """What one router knows of the demand on limited tenants.
+    """Demand for limited tenants as one router knows it.
 
     Attributes:
-        own: Requests a second wanted here, admitted or not, by tenant.
-        routers: Live routers of the data centre, this one included.
+        own_demand: Requests per second at this router by tenant, whether
+            admitted or not.
+        router_count: Live routers of the data centre, including this one.
     """
 
     def __init__(self):
-        self.own: dict[str, float] = {}
+        self.own_demand: dict[str, float] = {}
         self.router_count = 1
-        self._wanted: dict[str, int] = {}
-        self._told: dict[str, tuple[float, Mapping[str, float]]] = {}
-        self._turned_at: float | None = None
+        self._request_counts: dict[str, int] = {}
+        self._peer_reports: dict[str, tuple[float, Mapping[str, float]]] = {}
+        self._interval_began_at: float | None = None
 
     def count_request(self, tenant: str) -> None:
-        """Notes that a caller of a tenant wants a request."""
-        self._wanted[tenant] = self._wanted.get(tenant, 0) + 1
+        """Counts a request of a tenant, whether it is admitted or not."""
+        self._request_counts[tenant] = self._request_counts.get(tenant, 0) + 1
 
     def end_interval(self, now: float) -> dict[str, float]:
-        """Ends an interval and returns the demand to tell others."""
-        if self._turned_at is None or now <= self._turned_at:
-            self._turned_at = now
-            return dict(self.own)
-        passed = now - self._turned_at
-        self._turned_at = now
-        for tenant in self._wanted.keys() | self.own.keys():
-            rate = self._wanted.get(tenant, 0) / passed
-            before = self.own.get(tenant, rate)
-            self.own[tenant] = before + _SMOOTHING * (rate - before)
-        self._wanted = {}
-        self.own = {t: r for t, r in self.own.items() if r > _IDLE_RATE}
-        return dict(self.own)
+        """Ends an interval and returns the demand to report to peers."""
+        if self._interval_began_at is None or now <= self._interval_began_at:
+            self._interval_began_at = now
+            return dict(self.own_demand)
+        elapsed_s = now - self._interval_began_at
+        self._interval_began_at = now
+        for tenant in self._request_counts.keys() | self.own_demand.keys():
+            rate = self._request_counts.get(tenant, 0) / elapsed_s
+            previous = self.own_demand.get(tenant, rate)
+            self.own_demand[tenant] = previous + _SMOOTHING * (rate - previous)
+        self._request_counts = {}
+        self.own_demand = {
+            t: r for t, r in self.own_demand.items() if r > _IDLE_PER_S
+        }
+        return dict(self.own_demand)
 
     def update_peer(
         self, host: str, demand: Mapping[str, float], now: float
     ) -> None:
-        """Takes in what another router told."""
-        self._told[host] = (now, demand)
+        """Stores the demand that another router reports."""
+        self._peer_reports[host] = (now, demand)
 
     def share(self, tenant: str, now: float) -> float:
-        """Returns the part of a tenant's limits this router may spend.
+        """Returns the share of a tenant's limits that this router may use.
 
-        The parts of all routers add up to 1 when all have heard the same, and
-        to 1 plus the floor when one's callers are new.
+        The shares of all routers add up to 1 if all have the same reports, and
+        to 1 plus the minimum share if the callers of one router are new.
         """
         equal = 1.0 / max(1, self.router_count)
-        heard = self._heard(now)
-        if len(heard) + 1 < self.router_count:
+        peer_demand = self._recent_peer_demand(now)
+        if len(peer_demand) + 1 < self.router_count:
             return equal
-        own = self.own.get(tenant, 0.0)
-        others = sum(demand.get(tenant, 0.0) for demand in heard)
+        own = self.own_demand.get(tenant, 0.0)
+        others = sum(demand.get(tenant, 0.0) for demand in peer_demand)
         if own + others <= 0:
             return equal
-        return max(own / (own + others), equal * _FLOOR)
+        return max(own / (own + others), equal * _MIN_OF_EQUAL_SHARE)
 
-    def _heard(self, now: float) -> list[Mapping[str, float]]:
-        self._told = {
-            host: told
-            for host, told in self._told.items()
-            if now - told[0] <= _FORGET_S
+    def _recent_peer_demand(self, now: float) -> list[Mapping[str, float]]:
+        self._peer_reports = {
+            host: report
+            for host, report in self._peer_reports.items()
+            if now - report[0] <= _PEER_TIMEOUT_S
         }
-        return [demand for _, demand in self._told.values()]
+        return [demand for _, demand in self._peer_reports.values()]
--- a/hillthread/state/quotas/target_limits.py
+++ b/hillthread/state/quotas/target_limits.py
@@ -1,15 +1,15 @@
 """Rate limits that targets announce, enforced by all hosts together.
 
-A target announces in its answers how many requests a second it accepts from all
-hosts. Each host counts its requests like those of a quota (`quota_ledger.py`)
-and sends none beyond the limit.
+A target announces in its answers how many requests per second it accepts from
+all hosts. Each host counts its requests like those of a quota
+(`quota_ledger.py`) and sends none beyond the limit.
 
 Three things differ from the quota of an organisation:
 
 - Requests of the window before the announcement count, so hosts keep recent
   sends of all targets and report them when a limit is announced.
-- The limit is a few requests a second. Every host sees a free slot at the same
-  time, so that most of them leave it to their peers.
+- The limit is a few requests per second. Every host sees a free slot at the
+  same time, so most of them leave it to their peers.
 - Only answers announce that a limit has changed or ended, so a target whose
   limit is zero is still probed.
 """
@@ -29,39 +29,40 @@
 
 __all__ = ["LimitStatus", "TargetLimits"]
 
-# The platform judges a limit over any window of this length, and tolerates half
+# The platform checks a limit over any window of this length, and tolerates half
 # as much again and some requests more.
 _WINDOW_S = 4.0
 _BOUNDS = quota_lib.QuotaBounds(
     _WINDOW_S, overshoot_share=0.5, overshoot_units=5.0
 )
-# Fleet-wide probe rate of a target whose limit is lower, or zero.
+# Minimum rate over all hosts, for targets whose limit is lower or zero.
 _MIN_PROBES_PER_S = 0.25
-# Until all hosts know of a request, also when a packet is lost.
+# Time until all hosts know of a request, even if a packet is lost.
 _PROPAGATION_S = 0.3
-# Share of the tolerated overshoot that hosts may use before they hear of each
-# other.
+# Share of the tolerated overshoot that hosts may use before they learn of each
+# other's requests.
 _OVERSHOOT_SHARE = 0.25
 # Time constant of the demand estimate. Long, since one host of many sees few
 # requests for a target.
 _DEMAND_DECAY_S = 20.0
 # Demand of all hosts until this host has an estimate.
 _INITIAL_DEMAND_PER_S = 20.0
-# Until hosts have reported what they sent before a limit was announced.
+# Time until hosts have reported what they sent before a limit was announced.
 _RECALL_S = 0.6
-# Interval of notices for peers that have started since, or lost a packet.
+# Interval of repeated notices, for peers that have since started or lost a
+# packet.
 _REMINDER_INTERVAL_S = 1.0
 
 
 class LimitStatus(NamedTuple):
-    """State of a target's limit, for operators.
+    """State of a target's limit, as shown to operators.
 
     Attributes:
-        target: Its name.
-        per_s: Requests a second that it accepts from all hosts.
+        target: Name of the target.
+        per_s: Requests per second that it accepts from all hosts.
         used: Requests of all hosts in the last window, as known here.
-        left: Requests that may be sent at once; not above 0 when none may.
-        part: Share of all hosts in touch with this one.
+        left: Requests that may be sent at once; 0 or negative if none may.
+        part: Share of all hosts that are reachable, including this one.
         passed_over: Requests that this host has sent elsewhere or refused.
     """
 
@@ -73,14 +74,14 @@
     passed_over: int
 
 
-class _Limited:
+class _LimitedTarget:
     """A target with a limit.
 
     Attributes:
-        key: Identifies the target in notices of usage.
+        key: Identifies the target in usage notices.
         per_s: The limit.
         window: Requests of all hosts.
-        notified_at: Seconds, when peers were last notified of the limit.
+        notified_at: Time in seconds when peers were last notified of the limit.
         passed_over: Requests that were not sent there.
     """
 
@@ -113,7 +114,7 @@
 
 
 class TargetLimits:
-    """The limits of targets, on one host.
+    """Target limits as one host knows them.
 
     Attributes:
         ledger: Counts requests of all hosts.
@@ -127,7 +128,7 @@
     ):
         self.ledger = ledger
         self.draw = draw
-        self._limited: dict[str, _Limited] = {}
+        self._limited: dict[str, _LimitedTarget] = {}
         self._recent: dict[str, collections.deque[float]] = {}
 
     def __contains__(self, target: str) -> bool:
@@ -187,7 +188,7 @@
 
     def _add(self, target: str, per_s: float, now: float) -> None:
         key = usage_exchange.name_key(f"target {target}")
-        limited = _Limited(key, per_s, self.ledger.host_count, now)
+        limited = _LimitedTarget(key, per_s, self.ledger.host_count, now)
         limited.window.refresh(now, self.ledger.reachable_share(now))
         self._limited[target] = limited
         self.ledger.windows_by_key[key] = limited.window
@@ -248,20 +249,22 @@
 
         A slot that was left to peers has been used by then.
         """
-        first = max(
+        soonest = max(
             (self._limited[target] for target in targets),
             key=lambda each: each.window.remaining() / each.window.refill_per_s,
         )
         return max(
             _PROPAGATION_S,
-            first.window.refuse(now, 1.0, self.ledger.host_count),
+            soonest.window.refuse(now, 1.0, self.ledger.host_count),
         )
 
-    def _has_capacity(self, limited: _Limited, now: float) -> bool:
+    def _has_capacity(self, limited: _LimitedTarget, now: float) -> bool:
         limited.window.refresh(now, self.ledger.reachable_share(now))
         return limited.window.remaining() > 0.0
 
-    def _yields_to_peers(self, limited: _Limited, demand_per_s: float) -> bool:
+    def _yields_to_peers(
+        self, limited: _LimitedTarget, demand_per_s: float
+    ) -> bool:
         """Returns whether a free slot is left to peers.
 
         Args:
--- a/hillthread/state/quotas/usage_exchange.py
+++ b/hillthread/state/quotas/usage_exchange.py
@@ -1,16 +1,17 @@
-"""What hosts tell each other of the use of quotas.
+"""Exchange of quota usage between hosts.
 
-Each host hands the total that it has sent for an organisation to the host that
-gathers in its data centre; that one adds up and tells all hosts the total of
-its data centre. Totals only replace each other: a packet that is lost delays
-what it told, one that comes twice changes nothing.
+Each host reports the total it has sent for an organisation to the gatherer of
+its data centre, which is one of its hosts. The gatherer adds up the totals and
+reports the total of its group, the hosts of its data centre, to all hosts.
+Totals replace each other: a lost packet only delays a report, and a duplicate
+changes nothing.
 
-A sender whose totals were not heard before, or not for a while, is believed
-only what it has sent since it last told: the rest was spent before, in part by
-hosts that then earned a part of the quota for themselves.
+From a sender that is new, or has been silent for too long, only the usage since
+its previous report is counted. Earlier usage has been admitted already, in part
+by hosts that were out of contact and used a share of the quota of their own.
 
-An organisation far below its quota is told of only when what all have not told
-may come to so much that it matters.
+While an organisation is far below its quota, its usage is reported only when
+the unreported usage of all hosts could become significant.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 from typing import NamedTuple
 
 __all__ = [
+    "GROUP_REPORT_INTERVAL_S",
     "HOST_REPORT_INTERVAL_S",
     "MAX_TOTALS",
-    "GROUP_REPORT_INTERVAL_S",
     "Urgency",
     "UsageExchange",
     "UsageNotice",
@@ -31,30 +32,32 @@
     "name_key",
 ]
 
-# Hosts that are heard hand over, and gatherers tell, at least so often while
-# there are quotas.
+# Maximum intervals between reports of hosts and of gatherers while there are
+# quotas or target limits.
 HOST_REPORT_INTERVAL_S = 0.3
 GROUP_REPORT_INTERVAL_S = 0.12
-# Who was not heard for so long is out of touch: three packets lost in a row.
-# The sides of a cut both spend the whole quota until then.
-_HOST_SILENT_S = 1.0
-_GROUP_SILENT_S = 0.4
-# Totals that one packet takes, of some 20 bytes.
+# Silence after which a sender counts as unreachable: three lost packets in a
+# row. Until then each side of a network partition uses the whole quota.
+_HOST_TIMEOUT_S = 1.0
+_GROUP_TIMEOUT_S = 0.4
+# Maximum number of totals in a packet, of about 20 bytes each.
 MAX_TOTALS = 16
-# Notices of other data centres that wait to be handed on; the oldest go first.
-_MAX_WAITING = 16
+# Maximum number of notices of other data centres that wait to be forwarded; the
+# oldest are dropped first.
+_MAX_QUEUED_NOTICES = 16
 
-# Returns how urgent it is to tell of an amount sent for an organisation, by its
-# key and the number of those who tell; below 1 it is not due.
+# Returns the urgency of a report, given the key of an organisation, its
+# unreported amount and the number of reporters. Below 1 it is not due.
 Urgency = Callable[[int, float, int], float]
 
 
 @functools.cache
 def name_key(name: str) -> int:
-    """Returns what stands for an organisation or a host: 48 bits.
+    """Returns the key of an organisation or host, a hash of 48 bits.
 
-    That two of 2,200 organisations share one, and so a quota, is one case in
-    100 million; of 32 bits it would be one in 1,800.
+    Organisations with the same key would share a quota. The probability of a
+    collision among 2,200 organisations is 1 in 100 million; with 32 bits it
+    would be 1 in 1,800.
     """
     return int.from_bytes(
         hashlib.blake2b(name.encode(), digest_size=6).digest()
@@ -62,13 +65,13 @@
 
 
 class UsageTotal(NamedTuple):
-    """What was sent for an organisation.
+    """Total usage of an organisation at one sender.
 
     Attributes:
-        key: Stands for the organisation.
-        total: Units, since the sender's start; whole ones, which take a third
-            less of a packet.
-        recent: Units of these since the sender last told.
+        key: Key of the organisation.
+        total: Units since the sender's process started, rounded to whole units,
+            which take a third less space in a packet.
+        recent: The part of the total since the sender's previous report.
     """
 
     key: int
@@ -77,248 +80,254 @@
 
 
 class UsageNotice(NamedTuple):
-    """What one host, or the hosts of one data centre, have sent.
+    """Report of the usage of one host or one data centre.
 
     Attributes:
-        origin: Stands for the host that tells.
-        start: Stands for the start of its process.
-        hosts: Hosts whose use it tells.
-        totals: Of organisations for which anything is new.
+        origin: Key of the host that reports.
+        incarnation: Identifies the process of that host.
+        host_count: Number of hosts whose usage is included.
+        totals: Totals of organisations with unreported usage.
     """
 
     origin: int
-    start: int
-    hosts: int
+    incarnation: int
+    host_count: int
     totals: list[UsageTotal]
 
 
-class _Totals:
-    """What a sender has counted, and told of it.
+class _UsageCounters:
+    """Counts usage, and what of it has been reported.
 
     Attributes:
-        counted: Units by organisation.
-        untold: Units of these since it was last told of; only where there
-            are any.
-        told_at: Seconds, when anything was told.
+        counted: Units by key.
+        unreported: Units since the previous report, by key; a key without
+            unreported usage is absent.
+        reported_at: Time of the last report in seconds.
     """
 
     def __init__(self):
         self.counted: dict[int, float] = {}
-        self.untold: dict[int, float] = {}
-        self.told_at = float("-inf")
+        self.unreported: dict[int, float] = {}
+        self.reported_at = float("-inf")
 
     def add(self, key: int, amount: float) -> None:
-        """Counts what was sent."""
+        """Counts usage; a negative amount is a refund."""
         self.counted[key] = self.counted.get(key, 0.0) + amount
-        self.untold[key] = self.untold.get(key, 0.0) + amount
+        self.unreported[key] = self.unreported.get(key, 0.0) + amount
 
-    def due(self, urgency: Urgency, sharers: int) -> list[int]:
-        """Returns the organisations to tell of, the most urgent first."""
+    def due(self, urgency: Urgency, reporters: int) -> list[int]:
+        """Returns the keys whose reports are due, the most urgent first."""
         ranked = [
-            (urgency(key, abs(amount), sharers), key)
-            for key, amount in self.untold.items()
+            (urgency(key, abs(amount), reporters), key)
+            for key, amount in self.unreported.items()
         ]
         ranked = [each for each in ranked if each[0] >= 1.0]
         ranked.sort(reverse=True)
         return [key for _, key in ranked[:MAX_TOTALS]]
 
-    def tell(self, keys: list[int], now: float) -> list[UsageTotal]:
-        """Returns totals, which count as told from now on."""
+    def report(self, keys: list[int], now: float) -> list[UsageTotal]:
+        """Returns totals and marks them as reported."""
         totals = [
             UsageTotal(
-                key, round(self.counted[key]), round(self.untold.pop(key))
+                key, round(self.counted[key]), round(self.unreported.pop(key))
             )
             for key in keys
         ]
-        self.told_at = now
+        self.reported_at = now
         return totals
 
 
 class _Sender(NamedTuple):
-    """A sender of totals, as it was last heard.
+    """Last known state of a sender of totals.
 
     Attributes:
-        start: Of its process.
-        heard_at: Seconds.
-        hosts: Whose use it tells.
-        totals: By organisation.
+        incarnation: Identifies its process.
+        received_at: Time of its last notice in seconds.
+        host_count: Number of hosts whose usage it reports.
+        totals: Last totals by key.
     """
 
-    start: int
-    heard_at: float
-    hosts: int
+    incarnation: int
+    received_at: float
+    host_count: int
     totals: dict[int, float]
 
 
-class _Heard:
-    """What several senders have told."""
+class _SenderTotals:
+    """Totals that were received from several senders."""
 
-    def __init__(self, silent_s: float):
-        self.silent_s = silent_s
+    def __init__(self, timeout_s: float):
+        self.timeout_s = timeout_s
         self.senders: dict[int, _Sender] = {}
 
     def apply_notice(self, notice: UsageNotice, now: float) -> dict[int, float]:
-        """Returns the units that a notice adds, by organisation."""
-        before = self.senders.get(notice.origin)
-        if before is None or not self._is_current(before, notice, now):
-            before = _Sender(notice.start, now, notice.hosts, {})
+        """Stores a notice and returns the usage that it adds, by key."""
+        previous = self.senders.get(notice.origin)
+        if previous is None or not self._is_current(previous, notice, now):
+            previous = _Sender(notice.incarnation, now, notice.host_count, {})
         added = {}
         for key, total, recent in notice.totals:
-            added[key] = total - before.totals.get(key, total - recent)
-            before.totals[key] = total
-        self.senders[notice.origin] = before._replace(
-            heard_at=now, hosts=notice.hosts
+            added[key] = total - previous.totals.get(key, total - recent)
+            previous.totals[key] = total
+        self.senders[notice.origin] = previous._replace(
+            received_at=now, host_count=notice.host_count
         )
         return added
 
-    def hosts(self, now: float) -> int:
-        """Returns how many hosts are in touch, through all senders."""
-        self._forget(now)
-        return sum(sender.hosts for sender in self.senders.values())
+    def host_count(self, now: float) -> int:
+        """Returns how many hosts are reachable through all senders."""
+        self._drop_silent(now)
+        return sum(sender.host_count for sender in self.senders.values())
 
     def _is_current(
         self, sender: _Sender, notice: UsageNotice, now: float
     ) -> bool:
-        is_heard = now - sender.heard_at <= self.silent_s
-        return is_heard and sender.start == notice.start
+        is_recent = now - sender.received_at <= self.timeout_s
+        return is_recent and sender.incarnation == notice.incarnation
 
-    def _forget(self, now: float) -> None:
+    def _drop_silent(self, now: float) -> None:
         self.senders = {
             origin: sender
             for origin, sender in self.senders.items()
-            if now - sender.heard_at <= self.silent_s
+            if now - sender.received_at <= self.timeout_s
         }
 
 
 class UsageExchange:
-    """What one host tells and hears of the use of quotas.
+    """Sends and receives quota usage on one host.
 
     Attributes:
-        origin: Stands for the host.
-        start: Stands for the start of its process.
-        urgency: Tells what is due.
+        origin: Key of this host.
+        incarnation: Identifies the process of this host.
+        urgency: Returns which reports are due.
     """
 
-    def __init__(self, origin: int, start: int, urgency: Urgency):
+    def __init__(self, origin: int, incarnation: int, urgency: Urgency):
         self.origin = origin
-        self.start = start
+        self.incarnation = incarnation
         self.urgency = urgency
-        self._own = _Totals()
-        self._gathered = _Totals()
-        self._members = _Heard(_HOST_SILENT_S)
-        self._groups = _Heard(_GROUP_SILENT_S)
-        self._waiting: list[UsageNotice] = []
-        self._handed_to = 0
-        self._handed: dict[int, float] = {}
+        self._own_usage = _UsageCounters()
+        self._group_usage = _UsageCounters()
+        self._from_members = _SenderTotals(_HOST_TIMEOUT_S)
+        self._from_groups = _SenderTotals(_GROUP_TIMEOUT_S)
+        self._queued_notices: list[UsageNotice] = []
+        self._gatherer = 0
+        # Own usage that group reports of the gatherer do not include yet.
+        self._unconfirmed: dict[int, float] = {}
 
     def add_usage(self, key: int, amount: float) -> None:
-        """Counts what this host has sent, or gives back if negative."""
-        self._own.add(key, amount)
+        """Counts usage of this host; a negative amount is a refund."""
+        self._own_usage.add(key, amount)
 
     def reachable_hosts(self, now: float) -> int:
-        """Returns how many hosts are in touch, this one included."""
-        return max(1, self._groups.hosts(now) + self._gathers_for(now))
+        """Returns how many hosts are reachable, including this one."""
+        return max(1, self._from_groups.host_count(now) + self._group_size(now))
 
-    def _gathers_for(self, now: float) -> int:
-        """Returns how many hosts hand over to this one, itself included."""
-        gathers_own = self._handed_to == self.origin
-        return self._members.hosts(now) + gathers_own
+    def _group_size(self, now: float) -> int:
+        """Returns how many hosts report to this one, including itself."""
+        gathers_own = self._gatherer == self.origin
+        return self._from_members.host_count(now) + gathers_own
 
-    # To the host that gathers.
+    # Reports to the gatherer.
 
-    def is_report_due(self, now: float, sharers: int) -> bool:
-        """Returns whether the host that gathers is to be told.
+    def is_report_due(self, now: float, reporters: int) -> bool:
+        """Returns whether a report to the gatherer is due.
 
         Args:
             now: Seconds.
-            sharers: Hosts that hand over.
+            reporters: Number of hosts that report.
         """
-        if now - self._own.told_at >= HOST_REPORT_INTERVAL_S:
+        if now - self._own_usage.reported_at >= HOST_REPORT_INTERVAL_S:
             return True
-        return bool(self._own.due(self.urgency, sharers))
+        return bool(self._own_usage.due(self.urgency, reporters))
 
     def report_to(
-        self, gatherer: int, now: float, sharers: int
+        self, gatherer: int, now: float, reporters: int
     ) -> UsageNotice | None:
-        """Returns what the host that gathers is told; None if it is this one.
+        """Returns the report to the gatherer; None if it is this host.
 
         Args:
-            gatherer: Stands for that host.
+            gatherer: Key of the gatherer.
             now: Seconds.
-            sharers: Hosts that hand over.
+            reporters: Number of hosts that report.
         """
-        if gatherer != self._handed_to:
-            self._handed_to = gatherer
-            self._handed.clear()
+        if gatherer != self._gatherer:
+            self._gatherer = gatherer
+            self._unconfirmed.clear()
         if gatherer == self.origin:
             self._gather_own(now)
             return None
-        totals = self._own.tell(self._own.due(self.urgency, sharers), now)
+        totals = self._own_usage.report(
+            self._own_usage.due(self.urgency, reporters), now
+        )
         for each in totals:
-            handed = self._handed.get(each.key, 0.0)
-            self._handed[each.key] = handed + each.recent
-        return UsageNotice(self.origin, self.start, 1, totals)
+            unconfirmed = self._unconfirmed.get(each.key, 0.0)
+            self._unconfirmed[each.key] = unconfirmed + each.recent
+        return UsageNotice(self.origin, self.incarnation, 1, totals)
 
     def _gather_own(self, now: float) -> None:
-        for each in self._own.tell(list(self._own.untold), now):
-            self._gathered.add(each.key, each.recent)
+        for each in self._own_usage.report(
+            list(self._own_usage.unreported), now
+        ):
+            self._group_usage.add(each.key, each.recent)
 
-    # At the host that gathers.
+    # On the gatherer.
 
     def gather(self, notice: UsageNotice, now: float) -> dict[int, float]:
-        """Takes in what a host hands over; returns what it adds."""
-        added = self._members.apply_notice(notice, now)
+        """Adds the report of a host; returns the usage that it adds."""
+        added = self._from_members.apply_notice(notice, now)
         for key, amount in added.items():
-            self._gathered.add(key, amount)
+            self._group_usage.add(key, amount)
         return added
 
     def queue_for_members(self, notice: UsageNotice) -> None:
-        """Keeps what another data centre tells until it is handed on."""
-        self._waiting.append(notice)
-        del self._waiting[:-_MAX_WAITING]
+        """Queues a notice of another data centre for the hosts of this one."""
+        self._queued_notices.append(notice)
+        del self._queued_notices[:-_MAX_QUEUED_NOTICES]
 
     def pop_remote_notices(self) -> list[UsageNotice]:
-        """Returns what other data centres told, to be handed on once."""
-        waiting, self._waiting = self._waiting, []
-        return waiting
+        """Returns and removes the queued notices of other data centres."""
+        queued_notices, self._queued_notices = self._queued_notices, []
+        return queued_notices
 
-    def report_group(self, now: float, sharers: int) -> UsageNotice | None:
-        """Returns what this data centre has sent, if it is due.
+    def report_group(self, now: float, reporters: int) -> UsageNotice | None:
+        """Returns the report of this data centre, or None if it is not due.
 
         Args:
             now: Seconds.
-            sharers: Data centres that tell.
+            reporters: Number of data centres that report.
         """
-        hosts = self._gathers_for(now)
-        keys = self._gathered.due(self.urgency, sharers)
-        is_beat = (
-            hosts and now - self._gathered.told_at >= GROUP_REPORT_INTERVAL_S
+        host_count = self._group_size(now)
+        keys = self._group_usage.due(self.urgency, reporters)
+        is_heartbeat_due = (
+            host_count
+            and now - self._group_usage.reported_at >= GROUP_REPORT_INTERVAL_S
         )
-        if not keys and not is_beat:
+        if not keys and not is_heartbeat_due:
             return None
-        totals = self._gathered.tell(keys, now)
-        return UsageNotice(self.origin, self.start, hosts, totals)
+        totals = self._group_usage.report(keys, now)
+        return UsageNotice(self.origin, self.incarnation, host_count, totals)
 
-    # At all hosts.
+    # On all hosts.
 
     def apply_notice(self, notice: UsageNotice, now: float) -> dict[int, float]:
-        """Takes in what a data centre tells.
+        """Applies the report of a data centre.
 
         Returns:
-            What others have sent, by organisation: what this host has handed
-            over itself is in the total, and was counted when it was sent.
+            Usage of other hosts by key. The totals include what this host has
+            reported itself; that was counted when it was sent and is deducted.
         """
         if notice.origin == self.origin:
             return {}
-        added = self._groups.apply_notice(notice, now)
-        if notice.origin == self._handed_to:
+        added = self._from_groups.apply_notice(notice, now)
+        if notice.origin == self._gatherer:
             for key, amount in added.items():
-                added[key] = amount - self._returned(key, amount)
+                added[key] = amount - self._confirm_own(key, amount)
         return added
 
-    def _returned(self, key: int, amount: float) -> float:
-        """Returns how much of what was told is this host's own."""
-        handed = self._handed.get(key, 0.0)
-        own = max(0.0, min(handed, amount))
-        self._handed[key] = handed - own
+    def _confirm_own(self, key: int, amount: float) -> float:
+        """Returns how much of an amount is this host's own usage."""
+        unconfirmed = self._unconfirmed.get(key, 0.0)
+        own = max(0.0, min(unconfirmed, amount))
+        self._unconfirmed[key] = unconfirmed - own
         return own
--- a/tests/state/quotas/test_admission.py
+++ b/tests/state/quotas/test_admission.py
@@ -18,7 +18,7 @@
             queue.serve(ticket, 0.0)
         self.assertEqual(order, [1, 3, 0, 2])
 
-    def test_full_queue_sheds_the_lowest_class(self):
+    def test_full_queue_evicts_the_lowest_class(self):
         queue = admission.AdmissionQueue(2)
         queue.offer(0, 100.0, 0.0)
         low = queue.offer(5, 100.0, 0.0).ticket
@@ -27,7 +27,7 @@
         self.assertIsNotNone(offer.ticket)
         self.assertIsNone(queue.offer(1, 100.0, 0.0).ticket)
 
-    def test_refuses_at_once_what_cannot_make_its_deadline(self):
+    def test_refuses_requests_that_would_miss_their_deadline(self):
         queue = admission.AdmissionQueue(100)
         for number in range(20):
             queue.offer(0, 100.0, 0.0)
--- a/tests/state/quotas/test_aim_admission.py
+++ b/tests/state/quotas/test_aim_admission.py
@@ -1,4 +1,4 @@
-"""Tests of which prompts are refused because they would be late."""
+"""Tests of refusing prompts that would miss their objective."""
 
 import unittest
 
@@ -6,22 +6,32 @@
 from hillthread.state.routing import first_byte
 
 
-def expect(queue_s, read_s=0.1):
-    """Returns an estimate with a queue and a prompt of some length."""
-    tokens = int(read_s * 40_000)
-    return first_byte.Estimate(queue_s, 0.0, read_s, tokens, 0)
+def make_estimate(queue_s, prefill_s=0.1):
+    """Returns an estimate for a queue and a prompt of the given length."""
+    tokens = int(prefill_s * 40_000)
+    return first_byte.Estimate(queue_s, 0.0, prefill_s, tokens, 0)
 
 
 class AimAdmissionTest(unittest.TestCase):
-    def test_prompt_behind_a_queue_as_long_as_its_aim_is_refused(self):
-        self.assertTrue(aim_admission.is_queue_too_long(expect(0.7), 0.6))
-        self.assertFalse(aim_admission.is_queue_too_long(expect(0.4), 0.6))
-
-    def test_long_prompt_that_waits_for_nobody_is_sent(self):
-        self.assertFalse(aim_admission.is_queue_too_long(expect(0.0, 2.0), 0.6))
-
-    def test_without_an_aim_nothing_is_refused(self):
-        self.assertFalse(aim_admission.is_queue_too_long(expect(9.0), 0.0))
-
-    def test_return_is_when_the_queue_is_over(self):
-        self.assertAlmostEqual(aim_admission.queue_drain_s(expect(0.7)), 0.7)
+    def test_queue_as_long_as_the_objective_is_refused(self):
+        self.assertTrue(
+            aim_admission.is_queue_too_long(make_estimate(0.7), 0.6)
+        )
+        self.assertFalse(
+            aim_admission.is_queue_too_long(make_estimate(0.4), 0.6)
+        )
+
+    def test_long_prompt_without_a_queue_is_sent(self):
+        self.assertFalse(
+            aim_admission.is_queue_too_long(make_estimate(0.0, 2.0), 0.6)
+        )
+
+    def test_nothing_is_refused_without_an_objective(self):
+        self.assertFalse(
+            aim_admission.is_queue_too_long(make_estimate(9.0), 0.0)
+        )
+
+    def test_retry_time_is_when_the_queue_has_drained(self):
+        self.assertAlmostEqual(
+            aim_admission.queue_drain_s(make_estimate(0.7)), 0.7
+        )
--- a/tests/state/quotas/test_limits.py
+++ b/tests/state/quotas/test_limits.py
@@ -26,13 +26,13 @@
         usage.end(0.0)
         self.assertIsNone(usage.refusal_wait_s(0.0))
 
-    def test_rate_tells_how_long_to_wait(self):
+    def test_rate_limit_returns_the_time_to_wait(self):
         usage = self.usage(requests_per_s=2.0)
         usage.begin()
         self.assertAlmostEqual(usage.refusal_wait_s(0.0), 0.5)
         self.assertIsNone(usage.refusal_wait_s(0.5))
 
-    def test_tokens_are_paid_when_known(self):
+    def test_tokens_are_charged_when_a_request_ends(self):
         usage = self.usage(tokens_per_s=100.0)
         usage.begin()
         usage.end(250.0)
@@ -52,28 +52,28 @@
 
 
 class DemandSharesTest(unittest.TestCase):
-    def test_shares_follow_demand_and_forget(self):
-        own = shares.DemandShares()
-        own.router_count = 2
-        self.assertEqual(own.share("t", 0.0), 0.5)
-        own.end_interval(0.0)
+    def test_shares_follow_demand_and_reports_expire(self):
+        demand_shares = shares.DemandShares()
+        demand_shares.router_count = 2
+        self.assertEqual(demand_shares.share("t", 0.0), 0.5)
+        demand_shares.end_interval(0.0)
         for _ in range(30):
-            own.count_request("t")
-        own.end_interval(1.0)
-        own.update_peer("other", {"t": 10.0}, 1.0)
-        self.assertAlmostEqual(own.share("t", 1.0), 0.75)
-        self.assertEqual(own.share("t", 9.0), 0.5)
+            demand_shares.count_request("t")
+        demand_shares.end_interval(1.0)
+        demand_shares.update_peer("other", {"t": 10.0}, 1.0)
+        self.assertAlmostEqual(demand_shares.share("t", 1.0), 0.75)
+        self.assertEqual(demand_shares.share("t", 9.0), 0.5)
 
-    def test_host_without_demand_keeps_a_floor(self):
-        own = shares.DemandShares()
-        own.router_count = 4
+    def test_router_without_demand_keeps_a_minimum_share(self):
+        demand_shares = shares.DemandShares()
+        demand_shares.router_count = 4
         for host in "abc":
-            own.update_peer(host, {"t": 100.0}, 0.0)
-        self.assertAlmostEqual(own.share("t", 0.0), 0.025)
+            demand_shares.update_peer(host, {"t": 100.0}, 0.0)
+        self.assertAlmostEqual(demand_shares.share("t", 0.0), 0.025)
 
     def test_overshoot_is_bounded_under_every_pattern(self):
-        for pattern, ways in limits_bench.measure_limits(2).items():
+        for pattern, results in limits_bench.measure_limits(2).items():
             with self.subTest(pattern):
-                self.assertLess(ways["demand"].used, 1.05)
-                self.assertLess(ways["demand"].worst_second, 1.6)
-        self.assertGreater(ways["demand"].used, 0.8)
+                self.assertLess(results["demand"].used, 1.05)
+                self.assertLess(results["demand"].worst_second, 1.6)
+        self.assertGreater(results["demand"].used, 0.8)
--- a/tests/state/quotas/test_quota.py
+++ b/tests/state/quotas/test_quota.py
@@ -1,4 +1,4 @@
-"""Tests of how one quota is spent."""
+"""Tests of enforcing one quota."""
 
 import unittest
 
@@ -8,8 +8,8 @@
 BOUNDS = quota_lib.QuotaBounds(8.0, 0.1, 1_000.0)
 
 
-def tokens(rate=1_000.0, burst=1_000.0, plain=200.0):
-    """Returns a quota of tokens."""
+def token_quota(rate=1_000.0, burst=1_000.0, plain=200.0):
+    """Returns a quota that counts tokens."""
     return objects.Quota(
         rate_per_s=rate,
         burst=burst,
@@ -18,45 +18,47 @@
     )
 
 
-def opened(quota=None, bounds=BOUNDS, at=100.0):
-    """Returns a window that has stood for long, at a time."""
-    window = quota_lib.QuotaWindow(quota or tokens(), bounds, 0.0)
+def make_window(quota=None, bounds=BOUNDS, at=100.0):
+    """Returns a window whose bucket has filled up by `at`."""
+    window = quota_lib.QuotaWindow(quota or token_quota(), bounds, 0.0)
     window.refresh(at, 1.0)
     return window
 
 
 class CostTest(unittest.TestCase):
-    def test_what_a_request_counts(self):
+    def test_request_cost(self):
         requests = objects.Quota(rate_per_s=2.0)
-        self.assertEqual(quota_lib.request_cost(tokens(), 9_190), 9_190.0)
-        self.assertEqual(quota_lib.request_cost(tokens(), 0), 0.0)
-        self.assertEqual(quota_lib.request_cost(tokens(), None), 200.0)
+        self.assertEqual(quota_lib.request_cost(token_quota(), 9_190), 9_190.0)
+        self.assertEqual(quota_lib.request_cost(token_quota(), 0), 0.0)
+        self.assertEqual(quota_lib.request_cost(token_quota(), None), 200.0)
         self.assertEqual(quota_lib.request_cost(requests, 9_190), 1.0)
         self.assertEqual(quota_lib.request_cost(requests, None), 1.0)
 
 
 class QuotaWindowTest(unittest.TestCase):
-    def most_sent(self, window, ask_s, size, length_s, part=1.0):
-        """Returns the most sent in 8 s when something is asked for so often."""
+    def max_usage(
+        self, window, interval_s, size, duration_s, reachable_share=1.0
+    ):
+        """Returns the maximum usage in 8 s of requests at a fixed interval."""
         sent, now = [], 100.0
-        while now < 100.0 + length_s:
-            window.refresh(now, part)
+        while now < 100.0 + duration_s:
+            window.refresh(now, reachable_share)
             if window.remaining() > 0.0:
                 window.spend(size, now)
                 sent.append((now, size))
-            now += ask_s
+            now += interval_s
         return max(
             sum(s for at, s in sent if begin <= at <= begin + 8.0)
             for begin, _ in sent
         )
 
-    def test_window_holds_rate_and_burst_and_no_more(self):
+    def test_usage_in_a_window_is_rate_plus_burst(self):
         for size in (10.0, 300.0):
-            most = self.most_sent(opened(), 0.005, size, 20.0)
-            self.assertLessEqual(most, 9_000.0 + size)
-            self.assertGreaterEqual(most, 9_000.0 * 0.95)
+            max_used = self.max_usage(make_window(), 0.005, size, 20.0)
+            self.assertLessEqual(max_used, 9_000.0 + size)
+            self.assertGreaterEqual(max_used, 9_000.0 * 0.95)
 
-    def test_bounds_at_half_and_at_twice(self):
+    def test_other_window_lengths_and_tolerances(self):
         for window_s, overshoot_share, overshoot_units in (
             (4.0, 0.05, 500.0),
             (16.0, 0.2, 2_000.0),
@@ -65,7 +67,7 @@
             bounds = quota_lib.QuotaBounds(
                 window_s, overshoot_share, overshoot_units
             )
-            window = opened(bounds=bounds)
+            window = make_window(bounds=bounds)
             limit = 1_000.0 * window_s + 1_000.0
             sent, now = [], 100.0
             while now < 100.0 + 3 * window_s:
@@ -74,18 +76,18 @@
                     window.spend(10.0, now)
                     sent.append(now)
                 now += 0.005
-            most = max(
+            max_used = max(
                 sum(10.0 for at in sent if begin <= at <= begin + window_s)
                 for begin in sent
             )
-            self.assertLessEqual(most, limit + 10.0)
-            self.assertGreaterEqual(most, limit * 0.95)
-
-    def test_process_that_starts_adds_to_no_window(self):
-        """What a process that ended has sent still counts."""
-        before = opened()
-        sent = self.most_sent(before, 0.005, 10.0, 4.0)
-        after = quota_lib.QuotaWindow(tokens(), BOUNDS, 104.0)
+            self.assertLessEqual(max_used, limit + 10.0)
+            self.assertGreaterEqual(max_used, limit * 0.95)
+
+    def test_restart_does_not_exceed_the_window(self):
+        """The usage of a process that has ended counts in the window."""
+        before = make_window()
+        sent = self.max_usage(before, 0.005, 10.0, 4.0)
+        after = quota_lib.QuotaWindow(token_quota(), BOUNDS, 104.0)
         now = 104.0
         while now < 108.0:
             after.refresh(now, 1.0)
@@ -95,16 +97,16 @@
             now += 0.005
         self.assertLessEqual(sent, 9_000.0 * 1.1 + 1_000.0)
 
-    def test_parts_add_up_to_the_whole(self):
-        most = sum(
-            self.most_sent(opened(), 0.005, 10.0, 20.0, part)
-            for part in (0.25, 0.75)
+    def test_partitioned_hosts_together_keep_the_quota(self):
+        max_used = sum(
+            self.max_usage(make_window(), 0.005, 10.0, 20.0, reachable_share)
+            for reachable_share in (0.25, 0.75)
         )
-        self.assertLessEqual(most, 9_000.0 * 1.1 + 1_000.0)
-        self.assertGreaterEqual(most, 9_000.0 * 0.95)
+        self.assertLessEqual(max_used, 9_000.0 * 1.1 + 1_000.0)
+        self.assertGreaterEqual(max_used, 9_000.0 * 0.95)
 
-    def test_large_requests_get_through_as_small_ones_do(self):
-        window = opened(tokens(rate=100.0, burst=100.0))
+    def test_large_requests_are_admitted_like_small_ones(self):
+        window = make_window(token_quota(rate=100.0, burst=100.0))
         counts = {10.0: [0, 0], 800.0: [0, 0]}
         now = 100.0
         for number in range(2_000):
@@ -115,22 +117,22 @@
             if window.remaining() > 0.0:
                 window.spend(size, now)
                 counts[size][0] += 1
-        shares = [sent / asked for sent, asked in counts.values()]
+        shares = [sent / requested for sent, requested in counts.values()]
         self.assertGreater(shares[1], shares[0] * 0.5)
 
-    def test_changes_earn_nothing(self):
-        window = opened()
+    def test_changed_quota_does_not_refill(self):
+        window = make_window()
         while window.remaining() > 0.0:
             window.spend(100.0, 100.0)
         used = window.used / window.limit
-        window.set_quota(tokens(rate=100.0, burst=100.0))
+        window.set_quota(token_quota(rate=100.0, burst=100.0))
         self.assertLessEqual(window.remaining(), 0.0)
         self.assertAlmostEqual(window.used / window.limit, used)
-        window.set_quota(tokens())
+        window.set_quota(token_quota())
         self.assertLessEqual(window.remaining(), 0.0)
 
-    def test_refused_callers_return_one_after_the_other(self):
-        window = opened()
+    def test_retries_of_refused_callers_are_spaced(self):
+        window = make_window()
         while window.remaining() > 0.0:
             window.spend(100.0, 100.0)
         window.refresh(100.0, 1.0)
@@ -139,15 +141,15 @@
         self.assertAlmostEqual(times[1] - times[0], 0.2)
         self.assertLessEqual(times[-1], BOUNDS.window_s)
 
-    def test_standstill_earns_no_more_than_the_capacity(self):
-        window = opened()
+    def test_long_pause_refills_only_the_capacity(self):
+        window = make_window()
         window.spend(5_000.0, 100.0)
         window.refresh(1_000.0, 1.0 / 90)
         self.assertLessEqual(window.remaining(), window.capacity)
         self.assertLess(window.capacity, 20.0)
 
-    def test_what_has_not_run_is_given_back(self):
-        window = opened()
+    def test_refund_restores_the_quota(self):
+        window = make_window()
         remaining = window.remaining()
         window.spend(300.0, 100.0)
         window.spend(-300.0, 100.3)
--- a/tests/state/quotas/test_retry_budget.py
+++ b/tests/state/quotas/test_retry_budget.py
@@ -18,7 +18,7 @@
         self.assertLessEqual(allowed, 103)
         self.assertGreaterEqual(allowed, 95)
 
-    def test_a_few_retries_come_back_with_time(self):
+    def test_extra_retries_are_available_in_the_next_window(self):
         budget = retry_budget.RetryBudget(0.0)
         while budget.withdraw(0.0):
             pass
@@ -32,17 +32,19 @@
             max_size=120,
         )
     )
-    def test_no_window_has_more_than_it_earned(self, steps):
+    def test_no_window_exceeds_its_retries(self, steps):
         budget = retry_budget.RetryBudget(0.2, extra=2.0, window_s=5.0)
         now = 0.0
-        first, retries = [], []
+        first_attempts, retries = [], []
         for pause, is_retry in steps:
             now += pause
             if not is_retry:
                 budget.deposit(now)
-                first.append(now)
+                first_attempts.append(now)
             elif budget.withdraw(now):
                 retries.append(now)
                 window = [at for at in retries if at > now - 5.0]
-                earned = 0.2 * len([at for at in first if at > now - 5.0])
-                self.assertLessEqual(len(window), earned + 2.0)
+                accrued = 0.2 * len(
+                    [at for at in first_attempts if at > now - 5.0]
+                )
+                self.assertLessEqual(len(window), accrued + 2.0)
--- a/tests/state/quotas/test_usage_exchange.py
+++ b/tests/state/quotas/test_usage_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts tell each other of the use of quotas."""
+"""Tests of exchanging quota usage between hosts."""
 
 import unittest
 
@@ -8,26 +8,26 @@
 ORG = usage_exchange.name_key("org")
 
 
-def always(key, amount, sharers):
-    """Finds everything due."""
-    del key, amount, sharers
+def always_due(key, amount, reporters):
+    """Returns an urgency at which every report is due."""
+    del key, amount, reporters
     return 1.0
 
 
-def seldom(key, amount, sharers):
-    """Finds due what comes to a thousand over all that tell."""
+def due_from_1000_units(key, amount, reporters):
+    """Returns an urgency at which 1,000 units over all reporters are due."""
     del key
-    return amount * sharers / 1_000.0
+    return amount * reporters / 1_000.0
 
 
-def exchange(name, start=1, urgency=always):
-    """Returns what a host tells and hears."""
+def make_exchange(name, incarnation=1, urgency=always_due):
+    """Returns the usage exchange of a host."""
     key = usage_exchange.name_key(name)
-    return usage_exchange.UsageExchange(key, start, urgency)
+    return usage_exchange.UsageExchange(key, incarnation, urgency)
 
 
-def told(gatherer, member, now):
-    """Has a member hand over; returns what the gatherer then tells."""
+def report_through_gatherer(gatherer, member, now):
+    """Has a member report; returns the group report of the gatherer."""
     notice = member.report_to(gatherer.origin, now, 2)
     gatherer.report_to(gatherer.origin, now, 2)
     gatherer.gather(notice, now)
@@ -35,83 +35,85 @@
 
 
 class UsageExchangeTest(unittest.TestCase):
-    def test_others_hear_of_all_and_nobody_of_his_own(self):
-        gatherer, member, other = map(exchange, ("g", "m", "o"))
+    def test_hosts_receive_the_usage_of_others_without_their_own(self):
+        gatherer, member, other = map(make_exchange, ("g", "m", "o"))
         other.report_to(gatherer.origin, 0.0, 3)
         gatherer.add_usage(ORG, 5.0)
         member.add_usage(ORG, 70.0)
-        notice = told(gatherer, member, 0.0)
+        notice = report_through_gatherer(gatherer, member, 0.0)
         self.assertEqual(other.apply_notice(notice, 0.0), {ORG: 75.0})
         self.assertEqual(member.apply_notice(notice, 0.0), {ORG: 5.0})
         self.assertEqual(gatherer.apply_notice(notice, 0.0), {})
 
-    def test_lost_packet_only_delays(self):
-        gatherer, member, other = map(exchange, ("g", "m", "o"))
+    def test_lost_packet_only_delays_a_report(self):
+        gatherer, member, other = map(make_exchange, ("g", "m", "o"))
         member.add_usage(ORG, 1.0)
-        other.apply_notice(told(gatherer, member, 0.0), 0.0)
+        other.apply_notice(report_through_gatherer(gatherer, member, 0.0), 0.0)
         for now in (0.1, 0.2):
             member.add_usage(ORG, 10.0)
-            lost = told(gatherer, member, now)
+            lost = report_through_gatherer(gatherer, member, now)
         member.add_usage(ORG, 100.0)
-        notice = told(gatherer, member, 0.3)
+        notice = report_through_gatherer(gatherer, member, 0.3)
         self.assertEqual(other.apply_notice(notice, 0.3), {ORG: 120.0})
         self.assertEqual(other.apply_notice(notice, 0.3), {ORG: 0.0})
-        # One that comes late is made up for by the next.
+        # A packet that arrives late is corrected by the next one.
         late = other.apply_notice(lost, 0.3)[ORG]
-        again = other.apply_notice(notice, 0.3)[ORG]
-        self.assertEqual(late + again, 0.0)
+        later = other.apply_notice(notice, 0.3)[ORG]
+        self.assertEqual(late + later, 0.0)
 
-    def test_who_starts_hears_nothing_of_before(self):
-        gatherer, member = exchange("g"), exchange("m")
+    def test_new_host_does_not_count_past_usage(self):
+        gatherer, member = make_exchange("g"), make_exchange("m")
         member.add_usage(ORG, 1_000.0)
-        told(gatherer, member, 0.0)
+        report_through_gatherer(gatherer, member, 0.0)
         member.add_usage(ORG, 7.0)
-        notice = told(gatherer, member, 0.1)
-        self.assertEqual(exchange("o").apply_notice(notice, 0.1), {ORG: 7.0})
+        notice = report_through_gatherer(gatherer, member, 0.1)
+        self.assertEqual(
+            make_exchange("o").apply_notice(notice, 0.1), {ORG: 7.0}
+        )
 
-    def test_who_was_silent_adds_only_what_is_new(self):
-        gatherer, member, other = map(exchange, ("g", "m", "o"))
+    def test_sender_that_was_silent_adds_only_recent_usage(self):
+        gatherer, member, other = map(make_exchange, ("g", "m", "o"))
         member.add_usage(ORG, 1.0)
-        other.apply_notice(told(gatherer, member, 0.0), 0.0)
+        other.apply_notice(report_through_gatherer(gatherer, member, 0.0), 0.0)
         member.add_usage(ORG, 1_000.0)
-        told(gatherer, member, 2.0)
+        report_through_gatherer(gatherer, member, 2.0)
         member.add_usage(ORG, 3.0)
-        notice = told(gatherer, member, 4.0)
+        notice = report_through_gatherer(gatherer, member, 4.0)
         self.assertEqual(other.apply_notice(notice, 4.0), {ORG: 3.0})
 
-    def test_process_that_starts_again_counts_from_zero(self):
-        gatherer, member, other = map(exchange, ("g", "m", "o"))
+    def test_restarted_sender_counts_from_zero(self):
+        gatherer, member, other = map(make_exchange, ("g", "m", "o"))
         member.add_usage(ORG, 1_000.0)
-        other.apply_notice(told(gatherer, member, 0.0), 0.0)
-        again = exchange("m", start=2)
-        again.add_usage(ORG, 4.0)
-        notice = told(gatherer, again, 0.2)
+        other.apply_notice(report_through_gatherer(gatherer, member, 0.0), 0.0)
+        later = make_exchange("m", incarnation=2)
+        later.add_usage(ORG, 4.0)
+        notice = report_through_gatherer(gatherer, later, 0.2)
         self.assertEqual(other.apply_notice(notice, 0.2), {ORG: 4.0})
 
-    def test_hosts_in_touch_are_counted(self):
-        gatherer, member, other = map(exchange, ("g", "m", "o"))
+    def test_reachable_hosts_are_counted(self):
+        gatherer, member, other = map(make_exchange, ("g", "m", "o"))
         self.assertEqual(other.reachable_hosts(0.0), 1)
-        other.apply_notice(told(gatherer, member, 0.0), 0.0)
+        other.apply_notice(report_through_gatherer(gatherer, member, 0.0), 0.0)
         self.assertEqual(other.reachable_hosts(0.1), 2)
         self.assertEqual(gatherer.reachable_hosts(0.1), 2)
         self.assertEqual(other.reachable_hosts(1.0), 1)
         self.assertEqual(gatherer.reachable_hosts(2.0), 1)
 
-    def test_little_use_is_not_told_at_once(self):
-        gatherer = exchange("g", urgency=seldom)
-        member = exchange("m", urgency=seldom)
+    def test_insignificant_usage_is_not_reported_at_once(self):
+        gatherer = make_exchange("g", urgency=due_from_1000_units)
+        member = make_exchange("m", urgency=due_from_1000_units)
         member.report_to(gatherer.origin, 0.0, 2)
         member.add_usage(ORG, 400.0)
         self.assertFalse(member.is_report_due(0.1, 2))
         member.add_usage(ORG, 100.0)
         self.assertTrue(member.is_report_due(0.1, 2))
-        # What is not due is not told, and not forgotten.
+        # Usage that is not due stays unreported and is kept.
         notice = member.report_to(gatherer.origin, 0.1, 1)
         self.assertEqual(notice.totals, [])
         notice = member.report_to(gatherer.origin, 0.1, 2)
         self.assertEqual(notice.totals[0].recent, 500.0)
 
-    def test_packet_carries_as_much_as_it_is_said_to(self):
+    def test_largest_notice_fits_into_a_packet(self):
         totals = [
             usage_exchange.UsageTotal((1 << 48) - 1 - n, 10**12, 10**9)
             for n in range(usage_exchange.MAX_TOTALS)
