--- a/hillthread/state/config/caller_bounds.py
+++ b/hillthread/state/config/caller_bounds.py
@@ -1,4 +1,4 @@
-"""Bounds on what callers send, as the configuration in force sets them."""
+"""Bounds on the requests of callers, set by the configuration."""
 
 from __future__ import annotations
 
@@ -10,13 +10,14 @@
 class CallerBounds(NamedTuple):
     """Bounds on one connection of a caller.
 
-    The defaults hold until a configuration is known.
+    The defaults apply until a configuration is known.
 
     Attributes:
-        max_head_bytes: Size of a request's head.
-        max_body_bytes: Size of a request's body.
-        head_timeout_s: For a head to come in once it has begun.
-        idle_timeout_s: For a connection to rest, and between parts of a body.
+        max_head_bytes: Maximum size of a request's head.
+        max_body_bytes: Maximum size of a request's body.
+        head_timeout_s: Time in which a head must arrive once it has begun.
+        idle_timeout_s: Maximum idle time of a connection, and between parts of
+            a body.
     """
 
     max_head_bytes: int = 16_384
--- a/hillthread/state/config/configuration.py
+++ b/hillthread/state/config/configuration.py
@@ -1,9 +1,10 @@
-"""Replay of the configuration log: every reader decides the same way.
+"""Deterministic replay of the configuration log.
 
-Records are applied in log order. A put or delete takes effect only if the
-object still has the version its author expected; the version is the offset of
-the record that last changed the object. A chain of digests over all records
-shows whether two histories are the same.
+Every reader applies the records in log order and decides alike. A put or delete
+takes effect only if the object still has the version that its author expected;
+the version is derived from the offset of the record that last changed the
+object. A chain of digests over all records shows whether two histories are the
+same.
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
     "Rejection",
     "Snapshot",
     "StoredObject",
-    "extend_chain",
     "decode_change",
     "encode_change",
+    "extend_chain",
 ]
 
 EMPTY_CHAIN = "0" * 32
@@ -46,11 +47,11 @@
     """Creates or replaces one object.
 
     Attributes:
-        record_id: Chosen by the author; resolves unknown outcomes.
-        actor: The operator who asked for it.
+        record_id: Chosen by the author, to look up an unknown outcome.
+        actor: The operator who requested the change.
         made_at: Seconds since 1970.
-        object: The object as JSON; checked when it is applied.
-        expected_version: Version it replaces; 0 when it must not exist.
+        object: The object as JSON; validated when the record is applied.
+        expected_version: Version to replace; 0 if the object must not exist.
     """
 
     record_id: str
@@ -63,7 +64,7 @@
 class Delete(
     msgspec.Struct, frozen=True, kw_only=True, tag_field="op", tag="delete"
 ):
-    """Removes one object; fields as in `Put`."""
+    """Removes one object; the fields are those of `Put`."""
 
     record_id: str
     actor: str
@@ -77,7 +78,7 @@
 
     Attributes:
         object: The object as JSON.
-        version: Offset of the record that set it, plus one.
+        version: Offset of the record that stored it, plus one.
     """
 
     object: dict[str, Any]
@@ -87,11 +88,11 @@
 class Snapshot(
     msgspec.Struct, frozen=True, kw_only=True, tag_field="op", tag="snapshot"
 ):
-    """The whole configuration at one position; idempotent.
+    """The whole configuration at one position; applying it is idempotent.
 
     Attributes:
-        position: Offset of the last record it includes.
-        chain: Digest over all records up to it.
+        position: Offset of the last record that is included.
+        chain: Digest over all records up to that position.
         objects: All objects in force.
     """
 
@@ -104,11 +105,11 @@
 
 
 class Rejection(NamedTuple):
-    """Why a record had no effect.
+    """Reason why a record had no effect.
 
     Attributes:
         code: `version_conflict`, `invalid_configuration` or `duplicate`.
-        message: In words, with the remedy.
+        message: Explanation with the remedy.
     """
 
     code: str
@@ -116,11 +117,11 @@
 
 
 class Outcome(NamedTuple):
-    """What became of one record.
+    """Result of applying one record.
 
     Attributes:
-        offset: Its place in the log.
-        rejection: Why it had no effect, or None when it is in force.
+        offset: Offset of the record in the log.
+        rejection: Why the record had no effect, or None if it took effect.
     """
 
     offset: int
@@ -128,16 +129,16 @@
 
 
 class AuditEntry(NamedTuple):
-    """One line of the audit history.
+    """One entry of the audit history.
 
     Attributes:
-        offset: Place in the log.
-        actor: Who made the change.
+        offset: Offset of the record in the log.
+        actor: The operator who made the change.
         made_at: Seconds since 1970.
         operation: `put` or `delete`.
-        key: The object.
-        previous: The object before, as JSON, or None.
-        rejection: Why it had no effect, or None.
+        key: Key of the object; None if the object is invalid.
+        previous: The previous object as JSON, or None.
+        rejection: Why the change had no effect, or None.
     """
 
     offset: int
@@ -154,7 +155,7 @@
 
 
 def encode_change(change: Change) -> bytes:
-    """Returns the record's bytes on the log."""
+    """Returns the bytes of the record on the log."""
     return _encoder.encode(change)
 
 
@@ -162,7 +163,7 @@
     """Returns the change in a record of the log.
 
     Raises:
-        ConfigurationError: The bytes are no record this release knows.
+        ConfigurationError: The bytes are not a record of this release.
     """
     return payloads.decode_payload(_decoder, payload, "configuration")
 
@@ -171,15 +172,15 @@
     """The configuration as replayed up to a position.
 
     Attributes:
-        position: Offset of the last record taken in; -1 before the first.
+        position: Offset of the last applied record; -1 before the first.
         chain: Digest over all records up to `position`.
-        stored: All objects in force.
-        decoded: The same objects, decoded.
-        outcomes: What became of the latest records, by record id.
+        stored: All objects in force, as JSON.
+        decoded: All objects in force, decoded.
+        outcomes: Results of the latest records by record id.
         history: The latest changes, the oldest first.
-        unreadable: Records that could not be decoded, counted.
-        snapshot_position: Position of the last snapshot on the log that holds
-            all records before it.
+        unreadable_count: Number of records that could not be decoded.
+        snapshot_position: Position of the last snapshot on the log that
+            includes all records before it.
     """
 
     def __init__(self):
@@ -197,11 +198,11 @@
         self.snapshot_position = START_POSITION
 
     def apply(self, offset: int, payload: bytes) -> bool:
-        """Takes in the next record.
+        """Applies the next record.
 
         Args:
-            offset: Must be `position + 1`.
-            payload: The record's bytes.
+            offset: Offset of the record; must be `position + 1`.
+            payload: Bytes of the record.
 
         Returns:
             Whether an object changed.
@@ -223,8 +224,9 @@
             return False
         match change:
             case Snapshot():
-                # One that other records overtook on their way to the log
-                # leaves a gap where retention ends at it: it is due again.
+                # A snapshot that other records overtook on the way to the log
+                # lacks these records. If retention cut the log at it, they
+                # would be lost, so another snapshot is still due.
                 if change.position == offset - 1:
                     self.snapshot_position = change.position
                 return False
@@ -241,17 +243,17 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replaces everything by `snapshot`.
+        """Replaces the whole configuration by `snapshot`.
 
         Raises:
-            ConfigurationError: It is older than what is in force, or holds
-                an invalid object; nothing is changed then.
+            ConfigurationError: The snapshot is older than the configuration in
+                force, or contains an invalid object; nothing is changed.
         """
         if snapshot.position < self.position:
             raise errors.ConfigurationError(
                 f"A snapshot at {snapshot.position} is older than position "
                 f"{self.position} in force.",
-                "Take a snapshot from a host that is further on.",
+                "Take a snapshot from a host with a newer position.",
             )
         decoded = {}
         stored = {}
@@ -266,7 +268,7 @@
         self.chain = snapshot.chain
 
     def version(self, key: objects.ObjectKey) -> int:
-        """Returns the version in force of an object; 0 when absent."""
+        """Returns the version in force of an object; 0 if it is absent."""
         found = self.stored.get(key)
         return found.version if found else 0
 
@@ -274,13 +276,13 @@
         try:
             value = objects.decode_object(change.object)
         except errors.HillthreadError as error:
-            self._conclude(
+            self._record_outcome(
                 offset, change, None, Rejection(error.code, str(error))
             )
             return False
         key = objects.object_key(value)
-        rejection = self._check(key, change)
-        self._conclude(offset, change, key, rejection)
+        rejection = self._find_rejection(key, change)
+        self._record_outcome(offset, change, key, rejection)
         if rejection is not None:
             return False
         self.stored[key] = StoredObject(change.object, offset + 1)
@@ -288,15 +290,15 @@
         return True
 
     def _delete(self, offset: int, change: Delete) -> bool:
-        rejection = self._check(change.key, change)
-        self._conclude(offset, change, change.key, rejection)
+        rejection = self._find_rejection(change.key, change)
+        self._record_outcome(offset, change, change.key, rejection)
         if rejection is not None:
             return False
         self.stored.pop(change.key, None)
         self.decoded.pop(change.key, None)
         return True
 
-    def _check(
+    def _find_rejection(
         self, key: objects.ObjectKey, change: Put | Delete
     ) -> Rejection | None:
         if change.record_id in self.outcomes:
@@ -312,7 +314,7 @@
             f"{change.expected_version}. Remedy: read it again, then apply.",
         )
 
-    def _conclude(
+    def _record_outcome(
         self,
         offset: int,
         change: Put | Delete,
@@ -340,7 +342,7 @@
 
 
 def extend_chain(chain: str, payloads: Sequence[bytes]) -> str:
-    """Returns the chain after more records."""
+    """Returns the chain of digests extended by more records."""
     for payload in payloads:
         key = bytes.fromhex(chain)
         chain = hashlib.blake2b(payload, digest_size=16, key=key).hexdigest()
--- a/hillthread/state/config/objects.py
+++ b/hillthread/state/config/objects.py
@@ -1,7 +1,7 @@
-"""The labelled objects operators create, and how their JSON is checked.
+"""Configuration objects that operators create, and their JSON validation.
 
-Objects are `msgspec` structures and not named tuples, because they are read
-from JSON objects with every unknown field refused.
+Objects are `msgspec` structures instead of named tuples, because they are
+decoded from JSON objects and unknown fields are refused.
 """
 
 from __future__ import annotations
@@ -37,13 +37,13 @@
     str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9.-]*$", max_length=63)
 ]
 Positive: TypeAlias = Annotated[float, msgspec.Meta(gt=0)]
-# Sums of quotas stay exact, and finite.
-_MOST_UNITS = 1e15
+# Keeps sums of quota units exact and finite.
+_MAX_UNITS = 1e15
 Count: TypeAlias = Annotated[int, msgspec.Meta(ge=1)]
 
 
 class ObjectKey(msgspec.Struct, frozen=True, order=True):
-    """Identifies an object: its kind and its name."""
+    """Identifies an object by kind and name."""
 
     kind: str
     name: str
@@ -57,11 +57,11 @@
     tag=str.lower,
     forbid_unknown_fields=True,
 ):
-    """What all objects have.
+    """Base class of all objects.
 
     Attributes:
-        name: Unique among the objects of one kind.
-        labels: What selectors match on.
+        name: Unique name among the objects of one kind.
+        labels: Labels that selectors match.
     """
 
     name: Name
@@ -72,18 +72,19 @@
     """An engine or a plain service that requests are routed to.
 
     Attributes:
-        address: `IP:port`; names are not resolved.
-        data_centre: Where it runs; hosts route to their own data centre.
-        service: Whether it speaks the engine protocol or plain HTTP.
-        models: The models it serves; engines only.
-        prefill_tokens_per_s: A first guess, corrected by measurement.
-        cache_tokens: Prefix cache size; the engine's own figure replaces it.
-        max_running: Requests it runs at once.
-        truthful_refusals: Whether a refusal (409, 429, 503) proves that it
-            did not run the request.
-        honours_fencing: Whether it refuses an old fencing number.
-        cordoned: An operator wants no new requests on it.
-        weights_version: Weights it is to run; empty for whatever it does.
+        address: `IP:port`; host names are not resolved.
+        data_centre: Data centre of the target; hosts route to targets in their
+            own.
+        service: `engine` for the engine protocol, `plain` for plain HTTP.
+        models: Models that it serves; engines only.
+        prefill_tokens_per_s: Initial estimate, corrected by measurement.
+        cache_tokens: Size of the prefix cache, until the engine reports it.
+        max_running: Maximum number of requests that it runs at once.
+        truthful_refusals: Whether a refusal (409, 429, 503) proves that the
+            request has not run.
+        honours_fencing: Whether it refuses outdated fencing numbers.
+        cordoned: Whether an operator has excluded it from new requests.
+        weights_version: Weights that it is to run; empty to accept any.
     """
 
     address: Annotated[str, msgspec.Meta(pattern=r"^[0-9.]+:[0-9]+$")]
@@ -103,18 +104,20 @@
     """Targets that serve the same requests.
 
     Attributes:
-        target_selector: Picks the targets by their labels.
-        max_inflight: Requests one router keeps on one target.
-        queue_size: Requests one router keeps waiting for a free target.
-        retry_ratio: Retries allowed for each first attempt.
+        target_selector: Selects the targets by their labels.
+        max_inflight: Maximum number of requests of one router on one target.
+        queue_size: Maximum number of requests that wait on one router for a
+            free target.
+        retry_ratio: Retries that each first attempt allows.
         eject_after: Consecutive failures that eject a target.
         eject_s: Seconds until an ejected target is probed again.
-        models: The models its targets serve; empty for plain services.
-        max_running: Requests one target runs at once; 0 when not told.
-        cache_tokens: Tokens one target keeps in memory; 0 when not told.
-        cache_token_bytes: Bytes of KV cache for each token; 0 when not told.
-        max_connections: Connections one target takes from all hosts
-            together; 0 when not told.
+        models: Models that the targets serve; empty for plain services.
+        max_running: Maximum number of requests that one target runs at once; 0
+            if unknown.
+        cache_tokens: Tokens that one target keeps in memory; 0 if unknown.
+        cache_token_bytes: Bytes of KV cache for each token; 0 if unknown.
+        max_connections: Maximum number of connections of all hosts to one
+            target; 0 if unknown.
         status_path: Path of the targets' health check.
     """
 
@@ -133,13 +136,13 @@
 
 
 class CacheStore(_Object, frozen=True, kw_only=True):
-    """A store of kept KV cache, which targets save to and fetch from.
+    """A KV cache store that targets save to and fetch from.
 
     Attributes:
         address: `IP:port`.
-        data_centre: Where it runs.
-        cache_tokens: Tokens it keeps.
-        link_bytes_per_s: What its link carries; 0 when not known.
+        data_centre: Data centre of the store.
+        cache_tokens: Capacity in tokens.
+        link_bytes_per_s: Bandwidth of its link; 0 if unknown.
     """
 
     address: Annotated[str, msgspec.Meta(pattern=r"^[0-9.]+:[0-9]+$")]
@@ -149,11 +152,11 @@
 
 
 class PoolShare(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The part of a route's requests that goes to some pools.
+    """The share of a route's requests that the selected pools receive.
 
     Attributes:
-        pool_selector: Picks the pools.
-        weight: Relative to the weights of the route's other parts.
+        pool_selector: Selects the pools.
+        weight: Weight relative to the other shares of the route.
     """
 
     pool_selector: str
@@ -161,29 +164,30 @@
 
 
 class Route(_Object, frozen=True, kw_only=True):
-    """Which requests go to which pool.
+    """Maps requests to pools.
 
-    The fields from `host` on are read by the gateway only.
+    Only the gateway reads the fields from `host` on.
 
     Attributes:
-        path_prefix: The start of the request's path.
-        models: Model names it applies to; empty for all.
-        tenant_selector: Picks the tenants it applies to.
-        pool_selector: Picks the pools; all their targets are candidates.
+        path_prefix: Prefix of the paths that the route applies to.
+        models: Models that the route applies to; empty for all.
+        tenant_selector: Selects the tenants that the route applies to.
+        pool_selector: Selects the pools, whose targets are all candidates.
         order: Routes are tried in this order, then by name.
-        repeatable: Whether a request may run more than once; when unset,
+        repeatable: Whether a request may run more than once; if unset,
             completions may and calls of plain services may not.
         timeout_s: Deadline of a whole request.
-        host: The `Host` header it applies to; empty for any.
-        pool_shares: Splits the requests over pools; `pool_selector` is not
-            used then.
-        streaming: Whether answers are streams of events.
-        resumable: Whether a broken stream may go on in another run.
+        host: The `Host` header that the route applies to; empty for any.
+        pool_shares: Splits the requests among pools; `pool_selector` is then
+            ignored.
+        streaming: Whether answers are event streams.
+        resumable: Whether another run may continue a broken stream.
         public: Whether requests need no key.
-        priority: Class of its requests, 0 first; a tenant's goes before it.
-        max_attempts: Targets that one request may run on at most.
-        first_byte_aim_s: Objective of the first byte; 0 when there is none.
-        gap_aim_s: Objective of the pause between events; 0 for none.
+        priority: Priority class of the requests, 0 first; that of the tenant
+            has precedence.
+        max_attempts: Maximum number of targets that one request may run on.
+        first_byte_aim_s: Objective for the time to the first byte; 0 for none.
+        gap_aim_s: Objective for the time between events; 0 for none.
     """
 
     path_prefix: str
@@ -207,7 +211,7 @@
 class Limits(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a tenant may use in one data centre; 0 means no limit."""
+    """Limits of a tenant in one data centre; 0 means no limit."""
 
     concurrency: Annotated[int, msgspec.Meta(ge=0)] = 0
     requests_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0.0
@@ -215,7 +219,7 @@
 
 
 class QuotaUnit(enum.StrEnum):
-    """What a quota counts."""
+    """Unit that a quota counts."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -224,30 +228,31 @@
 class Quota(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """What a tenant may send through all hosts together.
+    """Limit on the requests of a tenant through all hosts together.
 
     Attributes:
-        rate_per_s: Units a second.
-        burst: Units beyond that at once.
-        unit: What is counted.
-        plain_tokens: What a request counts for that tells no tokens.
+        rate_per_s: Units per second.
+        burst: Units that may be used at once beyond the rate.
+        unit: Unit that is counted.
+        plain_tokens: Tokens charged for a request of unknown token count.
     """
 
-    rate_per_s: Annotated[float, msgspec.Meta(gt=0, le=_MOST_UNITS)]
-    burst: Annotated[float, msgspec.Meta(ge=0, le=_MOST_UNITS)] = 0.0
+    rate_per_s: Annotated[float, msgspec.Meta(gt=0, le=_MAX_UNITS)]
+    burst: Annotated[float, msgspec.Meta(ge=0, le=_MAX_UNITS)] = 0.0
     unit: QuotaUnit = QuotaUnit.REQUESTS
-    plain_tokens: Annotated[float, msgspec.Meta(ge=0, le=_MOST_UNITS)] = 0.0
+    plain_tokens: Annotated[float, msgspec.Meta(ge=0, le=_MAX_UNITS)] = 0.0
 
 
 class Tenant(_Object, frozen=True, kw_only=True):
-    """A caller: its organisation, keys and limits.
+    """A caller with its organisation, keys and limits.
 
     Attributes:
-        organisation: Cached prefixes are shared within it and never beyond.
+        organisation: Cached prefixes are shared only within an organisation.
         key_digests: SHA-256 of each bearer key, in hexadecimal.
-        limits: What it may use of one data centre.
-        quota: What it may use of all together; None for no limit.
-        priority: Class of its requests, 0 first; None leaves it to the route.
+        limits: Limits in one data centre.
+        quota: Limit over all data centres; None for no limit.
+        priority: Priority class of the requests, 0 first; None to use that of
+            the route.
     """
 
     organisation: Name
@@ -260,15 +265,16 @@
 
 
 class Policy(_Object, frozen=True, kw_only=True):
-    """How requests of the selected tenants are decided.
+    """Routing policy for the requests of the selected tenants.
 
     Attributes:
-        tenant_selector: Picks the tenants it applies to.
+        tenant_selector: Selects the tenants that the policy applies to.
         order: The first policy in this order, then by name, applies.
-        recompute_weight: Seconds of first-token time that one second of
-            recomputation is worth.
-        priority: Class of the requests; smaller is served first.
-        max_attempts: Attempts at most, the first included.
+        recompute_weight: Cost of one second of recomputation, in seconds of
+            time to the first token.
+        priority: Priority class of the requests; a smaller number is served
+            first.
+        max_attempts: Maximum number of attempts, including the first.
     """
 
     tenant_selector: str = ""
@@ -286,7 +292,7 @@
 
 
 def object_key(value: ConfigurationObject) -> ObjectKey:
-    """Returns the key under which `value` is stored."""
+    """Returns the key of `value`."""
     return ObjectKey(type(value).__name__.lower(), value.name)
 
 
@@ -297,14 +303,15 @@
         value: A mapping as decoded from JSON, with a `kind` field.
 
     Raises:
-        ConfigurationError: It is no valid object; the message has the path.
+        ConfigurationError: The value is not a valid object; the message
+            contains the path of the invalid field.
     """
     try:
         decoded = msgspec.convert(value, ConfigurationObject)
     except msgspec.ValidationError as error:
         raise errors.ConfigurationError(
             f"The object is invalid: {error}.",
-            "Correct the field at the path named, then apply it again.",
+            "Correct the field at this path, then apply the object again.",
         ) from error
     for field in _SELECTOR_FIELDS:
         if hasattr(decoded, field):
--- a/hillthread/state/config/payloads.py
+++ b/hillthread/state/config/payloads.py
@@ -1,4 +1,4 @@
-"""Decodes records of the log, of this release or not."""
+"""Decodes records of the log, including those of other releases."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 def decode_payload(
-    decoder: msgspec.json.Decoder, payload: bytes, what: str
+    decoder: msgspec.json.Decoder, payload: bytes, record_kind: str
 ) -> Any:
-    """Returns what a record holds.
+    """Returns the decoded content of a record.
 
     Args:
-        decoder: For the type of the stream's records.
-        payload: The record's bytes.
-        what: What the record is, for the error.
+        decoder: Decoder for the type of the log's records.
+        payload: Bytes of the record.
+        record_kind: Kind of the record, for the error message.
 
     Raises:
-        ConfigurationError: The bytes are no record this release knows.
+        ConfigurationError: The bytes are not a record of this release.
     """
     try:
         return decoder.decode(payload)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise errors.ConfigurationError(
-            f"The {what} record is unreadable: {error}.",
+            f"The {record_kind} record is unreadable: {error}.",
             "Check for a record of a newer release and upgrade this host.",
         ) from error
--- a/hillthread/state/config/route_index.py
+++ b/hillthread/state/config/route_index.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request by host and longest path prefix."""
+"""Index of routes by host and longest path prefix."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class RouteIndex:
     """Routes by host, then by path prefix.
 
-    Prefixes are cut at slashes: a lookup costs one step for each level of the
-    path, however many routes there are.
+    Prefixes end at slashes, so a lookup takes one step for each level of the
+    path, independent of the number of routes.
     """
 
     def __init__(self, routes: Iterable[objects.Route]):
@@ -26,8 +26,8 @@
         """Returns the route with the longest prefix of `path`, or None.
 
         Args:
-            host: The `Host` header; a port is passed over.
-            path: The request's path, without its query.
+            host: The `Host` header; a port is ignored.
+            path: Path of the request without the query.
         """
         name = host.partition(":")[0].strip().lower()
         prefixes = self._by_host.get(name)
--- a/hillthread/state/config/routing_table.py
+++ b/hillthread/state/config/routing_table.py
@@ -1,4 +1,4 @@
-"""The configuration as the data plane reads it: tenants, routes, targets."""
+"""The configuration in the form that the data plane reads."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from hillthread.state.config import objects
 from hillthread.state.config import route_index
 
-__all__ = ["WeightedPool", "ResolvedRoute", "RoutingTable"]
+__all__ = ["ResolvedRoute", "RoutingTable", "WeightedPool"]
 
-_MAX_RESOLVED = 4096
+_MAX_CACHED_ROUTES = 4096
 _DEFAULT_POLICY = objects.Policy(name="default")
 
 
 class ResolvedRoute(NamedTuple):
-    """What applies to one request.
+    """The configuration that applies to one request.
 
     Attributes:
-        route: The route that matched.
+        route: The matching route.
         policy: The policy of the tenant.
-        pool: The first pool of the route; its bounds apply.
-        targets: All targets of all its pools.
+        pool: The first pool of the route, whose bounds apply.
+        targets: The targets of all pools of the route.
     """
 
     route: objects.Route
@@ -36,11 +36,11 @@
 
 
 class WeightedPool(NamedTuple):
-    """A pool that takes a part of a route's requests.
+    """A pool that receives a share of a route's requests.
 
     Attributes:
         pool: The pool.
-        weight: Relative to the route's other pools.
+        weight: Weight relative to the other pools of the route.
     """
 
     pool: objects.Pool
@@ -51,10 +51,11 @@
     """An immutable view of one configuration.
 
     Attributes:
-        position: Position in the log of the configuration.
-        tenants: By name.
-        targets: By name.
-        cache_stores: Stores of kept KV cache.
+        position: Position of the configuration in the log.
+        tenants: Tenants by name.
+        targets: Targets by name.
+        models: Names of the models that targets serve.
+        cache_stores: KV cache stores.
         index: Finds routes by host and path.
     """
 
@@ -72,18 +73,22 @@
         self._routes: list[objects.Route] = []
         self._policies: list[objects.Policy] = []
         self._tenant_by_digest: dict[str, objects.Tenant] = {}
-        self._resolved: cachetools.LRUCache = cachetools.LRUCache(_MAX_RESOLVED)
+        self._resolved_routes: cachetools.LRUCache = cachetools.LRUCache(
+            _MAX_CACHED_ROUTES
+        )
         for value in decoded.values():
             self._add(value)
         self._pools.sort(key=lambda pool: pool.name)
         self._routes.sort(key=lambda route: (route.order, route.name))
         self._policies.sort(key=lambda policy: (policy.order, policy.name))
         self.index = route_index.RouteIndex(self._routes)
-        self._shares: cachetools.LRUCache = cachetools.LRUCache(_MAX_RESOLVED)
-        self._targets_of: dict[str, tuple[objects.Target, ...]] = {}
+        self._weighted_pools: cachetools.LRUCache = cachetools.LRUCache(
+            _MAX_CACHED_ROUTES
+        )
+        self._targets_by_route: dict[str, tuple[objects.Target, ...]] = {}
 
     def find_tenant_by_key(self, key: str) -> objects.Tenant | None:
-        """Returns the tenant whose bearer key this is, or None."""
+        """Returns the tenant with a bearer key, or None."""
         digest = hashlib.sha256(key.encode()).hexdigest()
         found = self._tenant_by_digest.get(digest)
         if found is None:
@@ -96,36 +101,42 @@
     def resolve(
         self, tenant: objects.Tenant, path: str, model: str
     ) -> ResolvedRoute | None:
-        """Returns what applies to a request, or None without a route.
+        """Returns the configuration of a request; None without a route or pool.
 
         Args:
-            tenant: Who asks.
-            path: The request's path.
-            model: The model asked for; empty for plain services.
+            tenant: The tenant that sent the request.
+            path: Path of the request.
+            model: The requested model; empty for plain services.
         """
-        route = self._route(tenant, path, model)
+        route = self._match_route(tenant, path, model)
         if route is None:
             return None
         cache_key = (tenant.name, route.name)
-        if cache_key not in self._resolved:
-            self._resolved[cache_key] = self._resolve(tenant, route)
-        return self._resolved[cache_key]
+        if cache_key not in self._resolved_routes:
+            self._resolved_routes[cache_key] = self._resolve_route(
+                tenant, route
+            )
+        return self._resolved_routes[cache_key]
 
     def pool_shares(self, route: objects.Route) -> tuple[WeightedPool, ...]:
         """Returns the pools of a route with their weights."""
-        if route.name not in self._shares:
-            self._shares[route.name] = self._parts_of(route)
-        return self._shares[route.name]
+        if route.name not in self._weighted_pools:
+            self._weighted_pools[route.name] = self._select_weighted_pools(
+                route
+            )
+        return self._weighted_pools[route.name]
 
     def pool(self, name: str) -> objects.Pool | None:
-        """Returns the pool of a name, or None."""
+        """Returns the pool with a name, or None."""
         return next((pool for pool in self._pools if pool.name == name), None)
 
     def pools_serving(self, model: str) -> list[objects.Pool]:
         """Returns the pools whose targets serve a model."""
         return [pool for pool in self._pools if model in pool.models]
 
-    def _parts_of(self, route: objects.Route) -> tuple[WeightedPool, ...]:
+    def _select_weighted_pools(
+        self, route: objects.Route
+    ) -> tuple[WeightedPool, ...]:
         shares = route.pool_shares or [
             objects.PoolShare(route.pool_selector, 1.0)
         ]
@@ -154,7 +165,7 @@
             case objects.CacheStore():
                 self.cache_stores.append(value)
 
-    def _route(
+    def _match_route(
         self, tenant: objects.Tenant, path: str, model: str
     ) -> objects.Route | None:
         for route in self._routes:
@@ -166,7 +177,7 @@
                 return route
         return None
 
-    def _resolve(
+    def _resolve_route(
         self, tenant: objects.Tenant, route: objects.Route
     ) -> ResolvedRoute | None:
         pools = [
@@ -182,16 +193,16 @@
             ),
             _DEFAULT_POLICY,
         )
-        if route.name not in self._targets_of:
-            self._targets_of[route.name] = self._select_targets(pools)
+        if route.name not in self._targets_by_route:
+            self._targets_by_route[route.name] = self._select_targets(pools)
         return ResolvedRoute(
-            route, policy, pools[0], self._targets_of[route.name]
+            route, policy, pools[0], self._targets_by_route[route.name]
         )
 
     def _select_targets(
         self, pools: list[objects.Pool]
     ) -> tuple[objects.Target, ...]:
-        """Returns the targets of some pools in the order of their names."""
+        """Returns the targets of the pools, ordered by name."""
         targets = {
             target.name: target
             for pool in pools
--- a/hillthread/state/config/site_configuration.py
+++ b/hillthread/state/config/site_configuration.py
@@ -1,4 +1,4 @@
-"""One version of the configuration, as the platform's operator wrote it."""
+"""One version of the configuration that the platform's operator wrote."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class SiteConfiguration(NamedTuple):
-    """A configuration in the product's own terms.
+    """The platform's configuration as objects of this program.
 
     Attributes:
-        version: Rises, not by even steps.
+        version: Version number, which increases by varying steps.
         decoded: All objects by key.
-        bounds: On what callers send.
+        bounds: Bounds on the requests of callers.
         has_tenants: Whether callers need keys on routes that are not public.
     """
 
--- a/tests/state/config/test_configuration.py
+++ b/tests/state/config/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of configuration replay."""
+"""Tests of replaying the configuration log."""
 
 import random
 import unittest
@@ -11,7 +11,7 @@
 from hillthread.state.config import objects
 
 
-def put(record_id, name, version, **fields):
+def encode_put(record_id, name, version, **fields):
     value = {"kind": "tenant", "name": name, "organisation": "o", **fields}
     return configuration.encode_change(
         configuration.Put(
@@ -24,7 +24,7 @@
     )
 
 
-def delete(record_id, name, version):
+def encode_delete(record_id, name, version):
     return configuration.encode_change(
         configuration.Delete(
             record_id=record_id,
@@ -41,13 +41,13 @@
 CHANGES = strategies.lists(
     strategies.one_of(
         strategies.builds(
-            put,
+            encode_put,
             strategies.sampled_from("abcdef"),
             strategies.sampled_from(["t", "u"]),
             strategies.integers(0, 6),
         ),
         strategies.builds(
-            delete,
+            encode_delete,
             strategies.sampled_from("abcdef"),
             strategies.sampled_from(["t", "u"]),
             strategies.integers(0, 6),
@@ -70,38 +70,51 @@
             self.state.apply(self.state.position + 1, payload)
 
     def test_first_of_two_racing_operators_wins(self):
-        self.apply(put("a", "t", 0, organisation="x"), put("b", "t", 0))
+        self.apply(
+            encode_put("a", "t", 0, organisation="x"), encode_put("b", "t", 0)
+        )
         self.assertIsNone(self.state.outcomes["a"].rejection)
         rejection = self.state.outcomes["b"].rejection
         self.assertEqual(rejection.code, "version_conflict")
         self.assertEqual(self.state.decoded[KEY].organisation, "x")
 
     def test_record_appended_twice_counts_once(self):
-        self.apply(put("a", "t", 0), put("b", "t", 1), put("a", "t", 0))
+        self.apply(
+            encode_put("a", "t", 0),
+            encode_put("b", "t", 1),
+            encode_put("a", "t", 0),
+        )
         self.assertIsNone(self.state.outcomes["a"].rejection)
         self.assertEqual(self.state.version(KEY), 2)
 
     def test_delete_and_create_again(self):
-        self.apply(put("a", "t", 0), delete("b", "t", 1), put("c", "t", 0))
+        self.apply(
+            encode_put("a", "t", 0),
+            encode_delete("b", "t", 1),
+            encode_put("c", "t", 0),
+        )
         self.assertEqual(self.state.version(KEY), 3)
 
-    def test_unreadable_and_invalid_records_change_nothing(self):
-        self.apply(b"\xff", b'{"op":"later"}', put("a", "NOT VALID", 0))
+    def test_unreadable_and_invalid_records_have_no_effect(self):
+        self.apply(b"\xff", b'{"op":"later"}', encode_put("a", "NOT VALID", 0))
         self.assertEqual(self.state.unreadable_count, 2)
         self.assertEqual(
             self.state.outcomes["a"].rejection.code, "invalid_configuration"
         )
         self.assertEqual(self.state.stored, {})
 
-    def test_refuses_a_gap(self):
+    def test_refuses_an_offset_after_a_gap(self):
         with self.assertRaises(errors.ConfigurationError):
-            self.state.apply(1, put("a", "t", 0))
+            self.state.apply(1, encode_put("a", "t", 0))
+
+    def test_snapshot_that_other_records_overtook_does_not_count(self):
+        """Guards against retention that cuts the log at such a snapshot.
 
-    def test_snapshot_that_lags_its_own_offset_does_not_count(self):
-        """Retention that ends at it would leave a gap before it."""
-        self.apply(put("a", "t", 0))
-        lagging = configuration.encode_change(self.state.snapshot())
-        self.apply(put("b", "u", 0), lagging)
+        It lacks the records that overtook it, which would be lost.
+        """
+        self.apply(encode_put("a", "t", 0))
+        overtaken = configuration.encode_change(self.state.snapshot())
+        self.apply(encode_put("b", "u", 0), overtaken)
         self.assertEqual(
             self.state.snapshot_position, configuration.START_POSITION
         )
@@ -111,33 +124,37 @@
 
     def test_never_restores_an_older_snapshot(self):
         old = self.state.snapshot()
-        self.apply(put("a", "t", 0))
+        self.apply(encode_put("a", "t", 0))
         with self.assertRaises(errors.ConfigurationError):
             self.state.restore(old)
         self.assertEqual(self.state.version(KEY), 1)
 
     @hypothesis.settings(derandomize=True, max_examples=150, deadline=None)
     @hypothesis.given(CHANGES, strategies.integers(0, 30))
-    def test_all_readers_agree(self, payloads, cut):
-        """One reads all; one starts from a snapshot in the middle."""
+    def test_all_readers_agree(self, payloads, snapshot_offset):
+        """Compares a full replay with one that starts from a snapshot."""
         whole = configuration.Configuration()
-        late = configuration.Configuration()
+        resumed = configuration.Configuration()
         for offset, payload in enumerate(payloads):
-            if offset == cut:
-                late.restore(whole.snapshot())
+            if offset == snapshot_offset:
+                resumed.restore(whole.snapshot())
             whole.apply(offset, payload)
-            if offset >= cut:
-                late.apply(offset, payload)
-        if len(payloads) > cut:
-            self.assertEqual(late.chain, whole.chain)
-        if cut == 0:
-            self.assertEqual(late.stored, whole.stored)
+            if offset >= snapshot_offset:
+                resumed.apply(offset, payload)
+        if len(payloads) > snapshot_offset:
+            self.assertEqual(resumed.chain, whole.chain)
+        if snapshot_offset == 0:
+            self.assertEqual(resumed.stored, whole.stored)
         versions = [each.version for each in whole.stored.values()]
         self.assertEqual(len(versions), len(set(versions)))
 
-    def test_chain_tells_histories_apart(self):
+    def test_chain_differs_between_histories(self):
         chains = set()
-        payloads = [put("a", "t", 0), put("b", "u", 0), put("c", "v", 0)]
+        payloads = [
+            encode_put("a", "t", 0),
+            encode_put("b", "u", 0),
+            encode_put("c", "v", 0),
+        ]
         for seed in range(4):
             state = configuration.Configuration()
             random.Random(seed).shuffle(payloads)
--- a/tests/state/config/test_labels.py
+++ b/tests/state/config/test_labels.py
@@ -28,7 +28,7 @@
                 selector = labels.parse_selector(text)
                 self.assertEqual(selector.matches(LABELS), expected)
 
-    def test_refuses_what_does_not_parse(self):
+    def test_refuses_invalid_selectors(self):
         for text in ("a=b,", "a in b", "=a", "a in (b", "a b"):
             with (
                 self.subTest(text),
--- a/tests/state/config/test_route_index.py
+++ b/tests/state/config/test_route_index.py
@@ -1,4 +1,4 @@
-"""Tests of finding routes."""
+"""Tests of finding routes by host and path."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 def route(prefix, host="h.example"):
-    """Returns a route named after its prefix."""
+    """Returns a route named after its host and prefix."""
     return objects.Route(
         name=f"{host}{prefix}", host=host, path_prefix=prefix, pool_selector=""
     )
@@ -38,13 +38,13 @@
         ),
         strategies.text("ab/", max_size=10),
     )
-    def test_same_as_trying_all(self, paths, rest):
+    def test_finds_the_same_route_as_a_linear_search(self, paths, rest):
         prefixes = {"/" + "".join(f"{x}/" for x in path) for path in paths}
         index = route_index.RouteIndex([route(p) for p in sorted(prefixes)])
         path = "/" + rest
-        fitting = [p for p in prefixes if path.startswith(p)]
+        matching = [p for p in prefixes if path.startswith(p)]
         found = index.find("h.example", path)
-        if not fitting:
+        if not matching:
             self.assertIsNone(found)
         else:
-            self.assertEqual(found.path_prefix, max(fitting, key=len))
+            self.assertEqual(found.path_prefix, max(matching, key=len))
--- a/tests/state/config/test_routing_table.py
+++ b/tests/state/config/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration as the data plane reads it."""
+"""Tests of the routing table."""
 
 import hashlib
 import unittest
@@ -7,14 +7,14 @@
 from hillthread.state.config import routing_table
 
 
-def table(*values):
+def make_table(*values):
     decoded = [objects.decode_object(value) for value in values]
     return routing_table.RoutingTable(
         3, {objects.object_key(value): value for value in decoded}
     )
 
 
-def tenant(name, **labels):
+def make_tenant(name, **labels):
     digest = hashlib.sha256(name.encode()).hexdigest()
     return {
         "kind": "tenant",
@@ -25,7 +25,7 @@
     }
 
 
-def target(name, **labels):
+def make_target(name, **labels):
     return {
         "kind": "target",
         "name": name,
@@ -50,13 +50,13 @@
 
 
 class RoutingTableTest(unittest.TestCase):
-    def test_resolves_by_selectors(self):
-        found = table(
+    def test_resolves_targets_and_policy_by_selectors(self):
+        table = make_table(
             POOL,
             ROUTE,
-            tenant("a", tier="ci"),
-            target("t1", role="engine"),
-            target("t2", role="plain"),
+            make_tenant("a", tier="ci"),
+            make_target("t1", role="engine"),
+            make_target("t2", role="plain"),
             {"kind": "policy", "name": "all", "order": 200},
             {
                 "kind": "policy",
@@ -65,17 +65,17 @@
                 "recompute_weight": 4.0,
             },
         )
-        resolved = found.resolve(found.tenants["a"], "/v1/chat", "m")
+        resolved = table.resolve(table.tenants["a"], "/v1/chat", "m")
         self.assertEqual([each.name for each in resolved.targets], ["t1"])
         self.assertEqual(resolved.policy.name, "ci")
 
-    def test_no_route_and_no_pool(self):
-        found = table(ROUTE, tenant("a"))
-        self.assertIsNone(found.resolve(found.tenants["a"], "/x", ""))
-        self.assertIsNone(found.resolve(found.tenants["a"], "/v1/x", ""))
+    def test_request_without_a_route_or_pool_is_not_resolved(self):
+        table = make_table(ROUTE, make_tenant("a"))
+        self.assertIsNone(table.resolve(table.tenants["a"], "/x", ""))
+        self.assertIsNone(table.resolve(table.tenants["a"], "/v1/x", ""))
 
-    def test_keys(self):
-        found = table(tenant("a"), tenant("b"))
-        self.assertEqual(found.find_tenant_by_key("b").name, "b")
-        self.assertIsNone(found.find_tenant_by_key("c"))
-        self.assertIsNone(found.find_tenant_by_key(""))
+    def test_tenant_is_found_by_key(self):
+        table = make_table(make_tenant("a"), make_tenant("b"))
+        self.assertEqual(table.find_tenant_by_key("b").name, "b")
+        self.assertIsNone(table.find_tenant_by_key("c"))
+        self.assertIsNone(table.find_tenant_by_key(""))
