--- a/hillthread/state/quotas/aim_admission.py
+++ b/hillthread/state/quotas/aim_admission.py
@@ -9,7 +9,8 @@
 A prompt that is late only because of its own length is sent, as it does not
 wait for others.
 
-The gain on days with lost engines and new weights is small.
+The benefit on days with lost engines and new weights is small, hardly above
+random variation.
 """
 
 from __future__ import annotations
--- a/hillthread/state/quotas/return_time.py
+++ b/hillthread/state/quotas/return_time.py
@@ -11,20 +11,20 @@
 
 # Length of the interval of one class, as a share of the minimum wait. With
 # three classes the last callers retry after 1.75 times the minimum.
-_SPAN_SHARE = 0.25
+_CLASS_INTERVAL_SHARE = 0.25
 # All classes beyond this one share its interval, which bounds the wait.
-_MAX_SPAN = 3
+_MAX_CLASS = 3
 
 
 def staggered_retry_after_s(
-    least_s: float, priority: int, fraction: float
+    min_wait_s: float, priority: int, fraction: float
 ) -> float:
     """Returns the seconds after which a refused caller should retry.
 
     Args:
-        least_s: Minimum wait of the callers that are refused now.
+        min_wait_s: Minimum wait of the callers that are refused now.
         priority: Priority class of the request; 0 is the most urgent.
         fraction: Random number of the caller, from 0 up to 1.
     """
-    span = min(max(0, priority), _MAX_SPAN)
-    return least_s * (1.0 + _SPAN_SHARE * (span + fraction))
+    class_index = min(max(0, priority), _MAX_CLASS)
+    return min_wait_s * (1.0 + _CLASS_INTERVAL_SHARE * (class_index + fraction))
--- a/hillthread/state/quotas/shares.py
+++ b/hillthread/state/quotas/shares.py
@@ -16,8 +16,8 @@
 _SMOOTHING = 0.5
 # Age at which a report expires: four of the intervals of 1 s.
 _PEER_TIMEOUT_S = 4.0
-# Minimum share relative to an equal one, so that new callers are admitted.
-_MIN_OF_EQUAL_SHARE = 0.1
+# Minimum share relative to an equal share, so that new callers are admitted.
+_MIN_SHARE_RATIO = 0.1
 # Demand in requests per second below which a tenant is no longer reported.
 _IDLE_PER_S = 0.01
 
@@ -79,7 +79,7 @@
         others = sum(demand.get(tenant, 0.0) for demand in peer_demand)
         if own + others <= 0:
             return equal
-        return max(own / (own + others), equal * _MIN_OF_EQUAL_SHARE)
+        return max(own / (own + others), equal * _MIN_SHARE_RATIO)
 
     def _recent_peer_demand(self, now: float) -> list[Mapping[str, float]]:
         self._peer_reports = {
--- a/tests/state/quotas/test_target_limits.py
+++ b/tests/state/quotas/test_target_limits.py
@@ -120,10 +120,10 @@
         limits = make_limits()
         limits.apply_answer(TARGET, 1.0, 0.0)
         send_often(limits, 0.0, 6.0)
-        returns = [limits.retry_after_s([TARGET], 6.0) for _ in range(8)]
-        self.assertEqual(returns, sorted(returns))
-        self.assertGreater(returns[0], 0.0)
-        self.assertLessEqual(returns[-1], 4.0)
+        waits_s = [limits.retry_after_s([TARGET], 6.0) for _ in range(8)]
+        self.assertEqual(waits_s, sorted(waits_s))
+        self.assertGreater(waits_s[0], 0.0)
+        self.assertLessEqual(waits_s[-1], 4.0)
 
     def test_removed_target_is_forgotten(self):
         limits = make_limits()
--- a/tests/state/quotas/test_usage_exchange.py
+++ b/tests/state/quotas/test_usage_exchange.py
@@ -85,9 +85,9 @@
         gatherer, member, other = map(make_exchange, ("g", "m", "o"))
         member.add_usage(ORG, 1_000.0)
         other.apply_notice(report_through_gatherer(gatherer, member, 0.0), 0.0)
-        later = make_exchange("m", incarnation=2)
-        later.add_usage(ORG, 4.0)
-        notice = report_through_gatherer(gatherer, later, 0.2)
+        restarted = make_exchange("m", incarnation=2)
+        restarted.add_usage(ORG, 4.0)
+        notice = report_through_gatherer(gatherer, restarted, 0.2)
         self.assertEqual(other.apply_notice(notice, 0.2), {ORG: 4.0})
 
     def test_reachable_hosts_are_counted(self):
