--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -1,4 +1,4 @@
-"""Takes in a request: which route, whose key, how long it may take."""
+"""Admits requests: finds the route, checks the key, sets the deadline."""
 
 from __future__ import annotations
 
@@ -23,44 +23,45 @@
     "authenticate",
     "check_deadline",
     "current_route",
-    "not_ready",
+    "make_not_ready_error",
 ]
 
-# Code of the refusals of a host that cannot serve; others may.
+# Error code of a host that cannot serve; another host may.
 NOT_READY = "not_ready"
-# A host that has just started knows enough by then.
-_SOON_S = 0.5
-# The balancer sends a caller that comes back to another host of its data
-# centre, at once.
-_ELSEWHERE_S = 0.1
-# The balancer asks once a second and takes a host out after two misses: by then
-# it sends callers to hosts that are ready, in other data centres if need be.
-_BALANCER_KNOWS_S = 2.0
-# If it sends callers here later still, no host is ready, as in an outage of the
-# store, and an early return is a try lost. Outages last for seconds; callers
-# heed a third of the time they have.
-_BALANCER_DONE_S = 2.6
-_OUTAGE_S = 1.0
-# With less than this share of its objective left a request cannot be served:
-# targets take longer for anything, and would work on it in vain.
-_LEAST_SHARE = 0.1
-_HOPELESS_RETRY_S = 0.1
-_BEARER = "bearer"
+# A host that has just started knows its configuration after this time.
+_STARTUP_RETRY_S = 0.5
+# Callers may retry at once: the balancer sends them to another host of its data
+# centre.
+_OTHER_HOST_RETRY_S = 0.1
+# The balancer checks readiness once a second and removes a host after two
+# failures. From then on it sends callers to hosts that are ready, in other data
+# centres if need be.
+_BALANCER_DETECTION_S = 2.0
+# If the balancer still sends callers here after this time, no host is ready, as
+# in an outage of the store, and an early retry is wasted. Outages last for
+# seconds; callers wait for at most a third of their remaining time.
+_OUTAGE_AFTER_S = 2.6
+_OUTAGE_RETRY_S = 1.0
+# Share of the first-byte objective below which a request is refused: targets
+# take longer than that for any request, and their work would be wasted.
+_MIN_TIME_SHARE = 0.1
+_NO_TIME_RETRY_S = 0.1
+_BEARER_SCHEME = "bearer"
 
 
 @dataclasses.dataclass
 class GatewayRequest:
-    """A request with everything that applies to it.
+    """A caller's request with its route, tenant and deadline.
 
     Attributes:
-        caller: As it came in.
-        request_id: As the caller sent it.
+        caller: The request as it was received.
+        request_id: The ID that the caller sent.
         route: The route that matched.
-        tenant: Whose key it carries; None on public routes.
-        prompt: What it says of its prompt.
-        deadline: Seconds on the clock; nobody waits any longer.
-        last_event_id: Of the last event the caller has, or None.
-        story: Its decisions.
+        tenant: The organisation whose key it carries; None on public routes.
+        prompt: What its headers say about the prompt.
+        deadline: Clock time, in seconds, until which the caller waits.
+        last_event_id: ID of the last event that the caller received, or None.
+        log: The log lines of the request.
     """
 
     caller: http1_server.CallerRequest
@@ -74,29 +75,29 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether it may run more than once."""
+        """Whether the request may run more than once."""
         return bool(self.route.repeatable)
 
     @property
     def tenant_name(self) -> str:
-        """The name of its tenant, or nothing."""
+        """The name of its tenant; empty on public routes."""
         return self.tenant.name if self.tenant else ""
 
     @property
     def organisation(self) -> str:
-        """Within which cached prefixes may be shared."""
+        """The organisation within which cached prefixes may be shared."""
         return self.tenant.organisation if self.tenant else "public"
 
     @property
     def priority(self) -> int:
-        """Its class, 0 first."""
+        """The priority class; 0 is served first."""
         if self.tenant is not None and self.tenant.priority is not None:
             return self.tenant.priority
         return self.route.priority
 
     @functools.cached_property
     def digest(self) -> str:
-        """What all tries of the same request have in common."""
+        """The digest that all retries of the same request share."""
         caller = self.caller
         return request_digest.request_digest(
             self.tenant_name,
@@ -107,7 +108,7 @@
         )
 
     def seconds_left(self) -> float:
-        """Seconds until nobody waits any more."""
+        """Returns the seconds until the deadline."""
         return self.deadline - clock.now()
 
 
@@ -116,23 +117,25 @@
     caller: http1_server.CallerRequest,
     log: story_lib.RequestLog,
 ) -> GatewayRequest:
-    """Returns the request with what applies to it.
+    """Returns the request with its route, tenant and deadline.
 
     Raises:
-        RefusalError: It cannot be served; it has not run.
+        RefusalError: The request cannot be served; it has not run.
     """
     if site.closing:
-        raise not_ready("The host is about to end.", _ELSEWHERE_S)
+        raise make_not_ready_error(
+            "The host is shutting down.", _OTHER_HOST_RETRY_S
+        )
     if not site.knows_enough:
-        raise not_ready(
-            "The host does not know the configuration yet.", _SOON_S
+        raise make_not_ready_error(
+            "The host does not know the configuration yet.", _STARTUP_RETRY_S
         )
-    route = _route(site, caller)
+    route = _find_route(site, caller)
     tenant = authenticate(site, caller, route)
     timeout_s = route.timeout_s
-    asked_s = _deadline_s(caller)
-    if asked_s is not None:
-        timeout_s = min(timeout_s, asked_s)
+    requested_s = _parse_deadline_s(caller)
+    if requested_s is not None:
+        timeout_s = min(timeout_s, requested_s)
     return GatewayRequest(
         caller,
         log.request_id,
@@ -152,20 +155,24 @@
 ) -> objects.Tenant | None:
     """Returns the tenant whose key a request carries; None on public routes.
 
-    Asked again right before each attempt: a key may end meanwhile, and a host
-    that was frozen no longer knows which keys hold.
+    Called again right before each attempt: a key may be revoked meanwhile, and
+    a host that was suspended no longer knows which keys are valid.
 
     Raises:
-        RefusalError: The key is unknown, or it is not known which keys hold.
+        RefusalError: The key is unknown, or the host does not know which keys
+            are valid.
     """
     configuration = site.configuration
     if route.public or configuration is None or not configuration.has_tenants:
         return None
     if not site.may_serve_keys(clock.now()):
-        raise _store_lost(site, "cannot check keys")
+        raise _make_store_lost_error(site, "cannot check keys")
     scheme, _, key = caller.get(b"authorization").partition(b" ")
     tenant = None
-    if scheme.decode("latin-1").lower() == _BEARER and site.table is not None:
+    if (
+        scheme.decode("latin-1").lower() == _BEARER_SCHEME
+        and site.table is not None
+    ):
         tenant = site.table.find_tenant_by_key(key.strip().decode("latin-1"))
     if tenant is None:
         raise errors.RefusalError(
@@ -178,25 +185,27 @@
 
 
 def check_deadline(request: GatewayRequest) -> None:
-    """Refuses a request whose time is too short for any target.
+    """Refuses a request whose remaining time is too short for any target.
 
     Raises:
-        RefusalError: It is.
+        RefusalError: The remaining time is too short.
     """
-    least_s = request.route.first_byte_aim_s * _LEAST_SHARE
-    if request.seconds_left() >= least_s:
+    min_s = request.route.first_byte_aim_s * _MIN_TIME_SHARE
+    if request.seconds_left() >= min_s:
         return
     raise errors.RefusalError(
         "no_time",
         503,
         "Too little time is left for any target.",
         "Allow more time.",
-        retry_after_s=_HOPELESS_RETRY_S,
+        retry_after_s=_NO_TIME_RETRY_S,
     )
 
 
-def not_ready(message: str, retry_after_s: float) -> errors.RefusalError:
-    """Returns the refusal of a host that cannot serve yet or any more."""
+def make_not_ready_error(
+    message: str, retry_after_s: float
+) -> errors.RefusalError:
+    """Returns the refusal of a host that is starting or stopping."""
     return errors.RefusalError(
         NOT_READY,
         503,
@@ -206,26 +215,28 @@
     )
 
 
-def _store_lost(site: site_lib.Site, effect: str) -> errors.RefusalError:
-    return not_ready(
-        f"The host has lost the store and {effect}.", _back_s(site)
+def _make_store_lost_error(
+    site: site_lib.Site, effect: str
+) -> errors.RefusalError:
+    return make_not_ready_error(
+        f"The host has lost the store and {effect}.", _choose_retry_s(site)
     )
 
 
-def _back_s(site: site_lib.Site) -> float:
-    """Returns after how long callers find a host that has the store."""
+def _choose_retry_s(site: site_lib.Site) -> float:
+    """Returns the seconds after which callers find a host with the store."""
     unready_s = site.unready_s(clock.now())
-    if unready_s >= _BALANCER_DONE_S:
-        return _OUTAGE_S
+    if unready_s >= _OUTAGE_AFTER_S:
+        return _OUTAGE_RETRY_S
     if site.neighbours:
-        return _ELSEWHERE_S
-    return max(_ELSEWHERE_S, _BALANCER_KNOWS_S - unready_s)
+        return _OTHER_HOST_RETRY_S
+    return max(_OTHER_HOST_RETRY_S, _BALANCER_DETECTION_S - unready_s)
 
 
 def current_route(
     site: site_lib.Site, caller: http1_server.CallerRequest
 ) -> objects.Route | None:
-    """Returns the route of a request in the configuration in force."""
+    """Returns the route of a request in the active configuration, if any."""
     table: routing_table.RoutingTable | None = site.table
     if table is None:
         return None
@@ -233,23 +244,23 @@
     return table.index.find(host, caller.path)
 
 
-def _route(
+def _find_route(
     site: site_lib.Site, caller: http1_server.CallerRequest
 ) -> objects.Route:
     route = current_route(site, caller)
     if route is not None:
         return route
     if not site.may_serve_keys(clock.now()):
-        raise _store_lost(site, "may miss a route")
+        raise _make_store_lost_error(site, "may miss a route")
     raise errors.RefusalError(
         "no_route",
         404,
-        f"No route leads from {caller.path}.",
-        "Check host and path against the routes in force.",
+        f"No route matches {caller.path}.",
+        "Check the host and the path against the configured routes.",
     )
 
 
-def _deadline_s(caller: http1_server.CallerRequest) -> float | None:
+def _parse_deadline_s(caller: http1_server.CallerRequest) -> float | None:
     text = caller.get(names.DEADLINE_MS)
     try:
         return max(0.0, float(text) / 1000.0) if text else None
--- a/hillthread/coordination/gateway/serving/limit_keeper.py
+++ b/hillthread/coordination/gateway/serving/limit_keeper.py
@@ -26,14 +26,14 @@
 
 
 class LimitKeeper:
-    """The limits of targets, and notices of them.
+    """Enforces the rate limits of targets on one host.
 
     Attributes:
-        site: The host's beliefs.
+        site: The host's view of the targets.
         work: Sends notices to other hosts.
         quotas: Reports requests together with the usage of quotas.
-        tasks: Where notices are sent again.
-        limits: The limits.
+        tasks: Runs the repeated sending of notices.
+        limits: Limits and usage by target.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
     ) -> None:
         """Applies the limit that the head of an answer announces."""
         if meaning.incarnation not in ("", target):
-            return  # another target has the address
+            return  # another target has this address now
         if meaning.limit_per_s is None and target not in self.limits:
             return
         now = clock.now()
@@ -65,7 +65,7 @@
         if not self.limits.apply_answer(target, meaning.limit_per_s, now):
             return
         is_new = len(self.limits) > before
-        self._note(target, meaning.limit_per_s, "answer")
+        self._record_change(target, meaning.limit_per_s, "answer")
         notice = work_notice.LimitNotice(
             self.site.targets.key_of(target), meaning.limit_per_s
         )
@@ -98,14 +98,14 @@
         """Returns the refusal of a request whose targets are all limited.
 
         Args:
-            targets: Those that could serve it but for their limits.
+            targets: Those that could serve it without their limits.
             now: Seconds.
         """
         return errors.RefusalError(
             "targets_limited",
             503,
             f"{len(targets)} targets could take the request, and all of them "
-            f"get as many a second as they said they take.",
+            f"are at the rate limits that they announced.",
             "Try again after the time in Retry-After; operators see the limits "
             "with `hillthread-ctl limits`.",
             retry_after_s=self.limits.retry_after_s(targets, now),
@@ -117,28 +117,30 @@
         """Applies a limit that was announced to another host."""
         target = self.site.targets.name_of(notice.engine)
         if target is None:
-            return  # not listed here yet, gone, or of an earlier start
+            return  # not listed yet, gone, or an earlier incarnation
         if self.limits.apply_peer_limit(target, notice.per_s, clock.now()):
-            self._note(target, notice.per_s, "host")
+            self._record_change(target, notice.per_s, "host")
             self.quotas.send_usage_soon()
 
     def forget(self, target: str) -> None:
         """Forgets a target that is gone or has restarted."""
         self.limits.forget(target)
-        self._count()
+        self._update_metric()
 
     def statuses(self) -> list[target_limits.LimitStatus]:
         """Returns the state of all limits, by target."""
         return self.limits.statuses(clock.now())
 
-    def _count(self) -> None:
+    def _update_metric(self) -> None:
         self.site.metrics.limited.set(len(self.limits))
 
-    def _note(self, target: str, per_s: float | None, source: str) -> None:
-        """Logs a target's limit as it is applied."""
-        self._count()
+    def _record_change(
+        self, target: str, per_s: float | None, source: str
+    ) -> None:
+        """Logs a limit that was applied or removed, and updates the metric."""
+        self._update_metric()
         _logger.info(
-            "target takes all again" if per_s is None else "target limited",
+            "target limit removed" if per_s is None else "target limited",
             extra={
                 "event": "target_unlimited"
                 if per_s is None
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -1,8 +1,8 @@
-"""Keeps organisations within their quotas, over all hosts together.
+"""Enforces the quotas of organisations over all hosts together.
 
-Decides at intake, counts requests to targets, and exchanges usage over the feed
-between hosts; see `state/quotas/quota.py` for how a quota is spent and
-`state/quotas/usage_exchange.py` for what hosts exchange.
+Decides whether requests are admitted, counts what is sent to targets, and
+exchanges usage with other hosts over the feed. `state/quotas/quota.py` defines
+how a quota is spent, `state/quotas/usage_exchange.py` what hosts exchange.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 
 __all__ = ["QuotaKeeper", "QuotaStatus"]
 
-# What was sent is told after this time, together with what else comes in it.
-_GATHER_S = 0.02
-# Hosts that start together hear each other and have earned what their callers
-# ask for after this time.
-_FIRST_MOMENTS_S = 2.0
-# Of the 0.5 s and more that prompts have to their first byte.
-_LONGEST_WAIT_S = 0.3
-_LOOK_AGAIN_S = 0.03
-# Between looks for quotas while nothing is counted over all hosts.
-_IDLE_S = 1.0
+# Usage is reported after this time, together with what is added meanwhile.
+_BATCH_S = 0.02
+# Time in which hosts that started together exchange notices and accrue the
+# quota that their callers request.
+_STARTUP_S = 2.0
+# Prompts have 0.5 s or more until their first byte; the wait takes part of it.
+_MAX_WAIT_S = 0.3
+_WAIT_CHECK_INTERVAL_S = 0.03
+# Interval of checks for new quotas while no usage is exchanged.
+_IDLE_CHECK_INTERVAL_S = 1.0
 
 _logger = logging.getLogger("hillthread.quota")
 
 
 class QuotaStatus(NamedTuple):
-    """How an organisation stands, for operators.
+    """The state of an organisation's quota, for operators.
 
     Attributes:
-        tenant: Its name.
-        rate_per_s: Units a second that all hosts may send for it.
-        burst: Units beyond that in a window.
-        unit: What is counted.
+        tenant: Name of the organisation.
+        rate_per_s: Units a second that all hosts together may send for it.
+        burst: Units a window allows beyond that rate.
+        unit: What the quota counts.
         used: Units sent in the last window, as far as this host knows.
         limit: Units that may be sent in a window.
-        left: Units that may be sent at once; negative when it is too much.
-        part: Hosts in touch with this one, of all.
+        left: Remaining units; negative after an overdraft.
+        part: Share of all hosts that are reachable, this one included.
         refused: Requests that this host refused.
     """
 
@@ -65,12 +65,12 @@
 
 
 class QuotaKeeper:
-    """What a host does about quotas.
+    """Enforces quotas on one host.
 
     Attributes:
-        site: The host's beliefs: configuration, and how many hosts there are.
-        work: Tells other hosts, and hears of them.
-        ledger: The quotas.
+        site: The host's view of the configuration and the number of hosts.
+        work: Exchanges usage with other hosts.
+        ledger: The usage of all quotas.
     """
 
     def __init__(self, site: site_lib.Site, work: work_feed.WorkFeed):
@@ -85,19 +85,19 @@
                 site.settings.quota_slack,
             ),
         )
-        self._version = -1
-        self._due = anyio.Event()
-        self._spent: set[str] = set()
+        self._table_position = -1
+        self._usage_due = anyio.Event()
+        self._exhausted_tenants: set[str] = set()
         work.usage = self.ledger.exchange
-        work.heard_of_usage = self._take
+        work.heard_of_usage = self._add_peer_usage
 
     def admit(self, request: intake.GatewayRequest) -> None:
-        """Lets a request through if its organisation is within its quota.
+        """Admits a request if its organisation is within its quota.
 
         Raises:
-            RefusalError: It is not; the request has not run.
+            RefusalError: The quota is exceeded; the request has not run.
         """
-        self._adopt()
+        self._apply_quotas()
         now = clock.now()
         name = request.tenant_name
         window, amount, left = self.ledger.check_request(
@@ -107,56 +107,55 @@
             return
         quota = window.quota
         if amount > window.limit:
-            raise _refusal(
+            raise _make_refusal(
                 f"The request uses {amount:.0f} {quota.unit}, more than the "
                 f"quota of {name} ever allows at once.",
                 "Send less, or have the quota raised.",
             )
-        self._note_spent(name, window, left)
+        self._log_exhaustion(name, window, left)
         if left > 0.0:
             return
         after_s = window.refuse(now, amount, self.site.hosts)
         self.site.metrics.note_quota_refusal(name)
-        raise _refusal(
+        raise _make_refusal(
             f"{name} has used its quota of {quota.rate_per_s:.0f} "
             f"{quota.unit} a second over all hosts, and {-left:.0f} more; "
-            f"{window.reachable_share:.2f} of the hosts are in touch and share "
-            "that part.",
+            f"{window.reachable_share:.2f} of the hosts are reachable and "
+            "share that amount.",
             "Try again after the time in Retry-After, or send less.",
             after_s,
         )
 
     async def wait_at_startup(self, request: intake.GatewayRequest) -> None:
-        """Lets a request wait that comes in a process's first moments.
-
-        A process that starts counts all of each quota as used, and earns only
-        its own part until it hears the others. When all hosts have started
-        again their callers come back at once, and are refused below their
-        quota. With the wait 14 requests in place of 28 end so on a day that
-        ends with a restart of all, and a day with trouble is worth 0.015 more
-        (means of six and nine plays of equal luck, all nine better).
+        """Delays a request that arrives soon after the process has started.
+
+        A process that starts counts all of each quota as used, and accrues
+        only its own share until it receives notices of the other hosts. After
+        a restart of all hosts, callers return at once and would be refused
+        although they are below their quota; the wait halves the number of
+        these refusals.
         """
-        until = self.site.started_at + _FIRST_MOMENTS_S
-        give_up_at = clock.now() + _LONGEST_WAIT_S
+        until = self.site.started_at + _STARTUP_S
+        give_up_at = clock.now() + _MAX_WAIT_S
         while (now := clock.now()) < min(until, give_up_at):
-            self._adopt()
+            self._apply_quotas()
             window, _, left = self.ledger.check_request(
                 request.tenant_name, request.prompt.counted_tokens, now
             )
             if window is None or left > 0.0:
                 return
-            await anyio.sleep(_LOOK_AGAIN_S)
+            await anyio.sleep(_WAIT_CHECK_INTERVAL_S)
 
     def charge(self, request: intake.GatewayRequest) -> None:
-        """Counts a send of a request.
+        """Counts an attempt of a request.
 
-        Sends after the first are counted, too, but never refused: what an
-        organisation has begun is brought to its end.
+        Attempts after the first are counted but never refused, so that a
+        request which has begun can be completed.
         """
         self._charge(request, 1.0)
 
     def refund_request(self, request: intake.GatewayRequest) -> None:
-        """Counts a send no more: no target has run it."""
+        """Takes back the charge for an attempt that no target has run."""
         self._charge(request, -1.0)
 
     def _charge(self, request: intake.GatewayRequest, sends: float) -> None:
@@ -169,12 +168,12 @@
             self.send_usage_soon()
 
     def send_usage_soon(self) -> None:
-        """Has other hosts told soon of what was sent."""
-        self._due.set()
+        """Has `run` send the usage to other hosts soon."""
+        self._usage_due.set()
 
     def statuses(self) -> list[QuotaStatus]:
-        """Returns how all organisations with a quota stand, by name."""
-        self._adopt()
+        """Returns the state of all quotas, sorted by organisation."""
+        self._apply_quotas()
         self.ledger.refresh(clock.now())
         return [
             QuotaStatus(
@@ -192,37 +191,41 @@
         ]
 
     async def run(self) -> None:
-        """Tells other hosts of what is sent here, until cancelled."""
+        """Reports usage to other hosts until cancelled."""
         while True:
-            self._adopt()
-            pause_s = _IDLE_S if self._is_idle() else self._beat_s()
+            self._apply_quotas()
+            pause_s = (
+                _IDLE_CHECK_INTERVAL_S
+                if self._is_idle()
+                else self._choose_interval_s()
+            )
             with anyio.move_on_after(pause_s):
-                await self._due.wait()
-                await anyio.sleep(_GATHER_S)
-            self._due = anyio.Event()
+                await self._usage_due.wait()
+                await anyio.sleep(_BATCH_S)
+            self._usage_due = anyio.Event()
             if not self._is_idle():
                 self.work.tell_usage()
 
     def _is_idle(self) -> bool:
-        """Returns whether nothing is counted over all hosts."""
+        """Returns whether there are no quotas, or no peers to report to."""
         return not self.ledger.windows_by_key or self.work.is_alone()
 
-    def _beat_s(self) -> float:
-        """Returns after how long others are told that this host is there."""
+    def _choose_interval_s(self) -> float:
+        """Returns the interval of reports; they show that the host is alive."""
         if self.work.gatherer.is_gatherer(clock.now()):
             return usage_exchange.GROUP_REPORT_INTERVAL_S
         return usage_exchange.HOST_REPORT_INTERVAL_S
 
-    def _take(self, added: dict[int, float]) -> None:
+    def _add_peer_usage(self, added: dict[int, float]) -> None:
         self.ledger.add_peer_usage(added, clock.now())
 
-    def _adopt(self) -> None:
-        """Puts the quotas of the configuration in force."""
+    def _apply_quotas(self) -> None:
+        """Applies the quotas of the active configuration."""
         self.ledger.host_count = self.site.hosts
         table = self.site.table
-        if table is None or table.position == self._version:
+        if table is None or table.position == self._table_position:
             return
-        self._version = table.position
+        self._table_position = table.position
         quotas = {
             name: tenant.quota
             for name, tenant in table.tenants.items()
@@ -230,19 +233,19 @@
         }
         self.ledger.set_quotas(quotas, clock.now())
 
-    def _note_spent(
+    def _log_exhaustion(
         self, tenant: str, window: quota_lib.QuotaWindow, left: float
     ) -> None:
-        """Logs that a quota is used up, and that there is room again."""
-        was_spent = tenant in self._spent
-        is_spent = left <= 0.0 or (was_spent and window.is_low())
-        if is_spent == was_spent:
+        """Logs when a quota is exhausted and when it is available again."""
+        was_exhausted = tenant in self._exhausted_tenants
+        is_exhausted = left <= 0.0 or (was_exhausted and window.is_low())
+        if is_exhausted == was_exhausted:
             return
-        self._spent ^= {tenant}
+        self._exhausted_tenants ^= {tenant}
         _logger.info(
-            "quota used up" if is_spent else "quota free",
+            "quota exhausted" if is_exhausted else "quota available",
             extra={
-                "event": "quota_spent" if is_spent else "quota_free",
+                "event": "quota_spent" if is_exhausted else "quota_free",
                 "tenant": tenant,
                 "left": int(left),
                 "rate_per_s": window.quota.rate_per_s,
@@ -255,7 +258,7 @@
         )
 
 
-def _refusal(
+def _make_refusal(
     message: str, remedy: str, after_s: float | None = None
 ) -> errors.RefusalError:
     return errors.RefusalError(
--- a/tests/coordination/gateway/serving/test_quota.py
+++ b/tests/coordination/gateway/serving/test_quota.py
@@ -1,9 +1,9 @@
 """Tests that an organisation stays within its quota over all hosts together.
 
-Seen on a deployment of 22 hosts: an organisation that sent five times its usual
-ran 1,283,873 tokens within 8 s where its quota and all allowances came to
-1,117,899. No host looked at quotas; each keeping the whole quota by itself
-would have let through as many times as much as there are hosts.
+Guards against hosts that ignore quotas, or enforce the whole quota each on its
+own, which multiplies it by the number of hosts. On a deployment of 22 hosts an
+organisation that sent five times its usual load ran 1,283,873 tokens within
+8 s, where its quota and all allowances came to 1,117,899.
 """
 
 import bisect
@@ -18,22 +18,22 @@
 from tests.coordination.gateway import scene as scene_lib
 from tests.coordination.gateway.peers import test_feed
 
-# Tokens of each request: of its prompt and its longest answer.
+# Tokens of each request: its prompt and its longest answer.
 TOKENS = 940
 WINDOW_S = 1.0
-RATE = 20_000
-BURST = 10_000
-LIMIT = RATE * WINDOW_S + BURST
-LENGTH_S = 2.5
+RATE_PER_S = 20_000
+BURST_TOKENS = 10_000
+LIMIT_TOKENS = RATE_PER_S * WINDOW_S + BURST_TOKENS
+DURATION_S = 2.5
 CALLERS = 6
-# Of the platform, for all errors together.
-ALLOWANCE = 1.1
-# What may be on its way when the limit is reached: one request of each caller.
-OVERDRAFT = CALLERS * TOKENS
+# Factor that the platform allows for all errors together.
+ALLOWANCE_FACTOR = 1.1
+# Tokens under way when the limit is reached: one request of each caller.
+OVERDRAFT_TOKENS = CALLERS * TOKENS
 
 
-def tenants(rate=RATE, burst=BURST, **changes):
-    """Returns tenants of which the first has a quota."""
+def tenants(rate=RATE_PER_S, burst=BURST_TOKENS, **changes):
+    """Returns two tenants; the first one has a quota."""
     return [
         {
             "name": "tenant-one",
@@ -50,13 +50,13 @@
 
 
 async def ask(scene, program, request):
-    """Returns the status of a host's answer to a request."""
+    """Returns a host's answer to a request."""
     return await scene_lib.http1_client.call(
         scene.pool, program.server.address, request, 4.0, 1 << 20
     )
 
 
-def most_in_a_window(scene):
+def max_tokens_in_a_window(scene):
     """Returns the most tokens that ran within any window."""
     times = sorted(run.at for t in scene.targets for run in t.runs)
     return TOKENS * max(
@@ -65,8 +65,8 @@
     )
 
 
-async def hosts_in_touch(scene, count):
-    """Starts more hosts and returns all when each hears the others."""
+async def start_hosts(scene, count):
+    """Starts hosts; returns all once each has notices of the others."""
     programs = [scene.program]
     for number in range(2, count + 1):
         programs.append(
@@ -86,7 +86,7 @@
 
 
 async def send_for(scene, programs, seconds, statuses):
-    """Has callers send as fast as they are answered, to hosts in turn."""
+    """Has callers send to the hosts in turn, as fast as they are answered."""
 
     async def send(number):
         """Sends to one host after the other."""
@@ -103,31 +103,33 @@
             callers.start_soon(send, number)
 
 
-def is_free(program):
-    """Returns whether nothing of the first quota counts as used."""
+def has_quota_left(program):
+    """Returns whether the first quota admits another request."""
     statuses = program.quotas.statuses()
     return bool(statuses) and statuses[0].left > TOKENS
 
 
 class QuotaTest(unittest.TestCase):
-    def test_all_hosts_together_keep_within_it(self):
-        async def story(scene):
+    def test_hosts_together_stay_within_quota(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants())
-            programs = await hosts_in_touch(scene, 3)
+            programs = await start_hosts(scene, 3)
             statuses = []
-            await send_for(scene, programs, LENGTH_S, statuses)
-            most = LIMIT * ALLOWANCE + OVERDRAFT
-            self.assertLessEqual(most_in_a_window(scene), most)
-            # What is below the quota is served.
+            await send_for(scene, programs, DURATION_S, statuses)
+            most = LIMIT_TOKENS * ALLOWANCE_FACTOR + OVERDRAFT_TOKENS
+            self.assertLessEqual(max_tokens_in_a_window(scene), most)
+            # Requests below the quota are served.
             ran = len(scene.runs()) * TOKENS
-            self.assertGreaterEqual(ran, LIMIT * LENGTH_S / WINDOW_S * 0.8)
+            self.assertGreaterEqual(
+                ran, LIMIT_TOKENS * DURATION_S / WINDOW_S * 0.8
+            )
             self.assertLessEqual(set(statuses), {200, 429})
             self.assertIn(429, statuses)
 
-        scene_lib.play(story, quota_window_s=WINDOW_S)
+        scene_lib.play(scenario, quota_window_s=WINDOW_S)
 
-    def test_refusal_is_true_and_tells_when_to_return(self):
-        async def story(scene):
+    def test_refused_request_has_not_run_and_names_retry_time(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants(rate=1_000, burst=1_000))
             await scene.until(
                 lambda: (
@@ -147,10 +149,10 @@
                 self.assertLess(after_s, WINDOW_S * 1.5)
                 self.assertIn(b"quota_exceeded", answer.body)
 
-        scene_lib.play(story, quota_window_s=WINDOW_S)
+        scene_lib.play(scenario, quota_window_s=WINDOW_S)
 
-    def test_requests_of_the_first_moments_wait_for_what_is_earned(self):
-        async def story(scene):
+    def test_requests_at_startup_wait_for_quota(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants())
             await scene.until(scene.program.quotas.statuses)
             statuses = [
@@ -158,7 +160,7 @@
                 for _ in range(6)
             ]
             self.assertEqual(statuses, [200] * 6)
-            # Later nothing waits.
+            # After the start no request waits.
             scene.site.started_at -= 10.0
             statuses = [
                 (await scene.call(scene.prompt("/stream/x"))).head.status
@@ -166,10 +168,10 @@
             ]
             self.assertIn(429, statuses)
 
-        scene_lib.play(story, quota_window_s=WINDOW_S)
+        scene_lib.play(scenario, quota_window_s=WINDOW_S)
 
-    def test_others_and_public_routes_are_not_limited(self):
-        async def story(scene):
+    def test_other_tenants_and_public_routes_are_unlimited(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants(rate=1, burst=1))
             other = {"authorization": "Bearer key-two"}
             for _ in range(10):
@@ -178,23 +180,23 @@
                 public = scene.request("/open/x", authorization="")
                 self.assertEqual((await scene.call(public)).head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_what_has_not_run_is_given_back(self):
-        async def story(scene):
+    def test_request_that_has_not_run_is_refunded(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants())
             program = scene.program
-            await scene.until(lambda: is_free(program))
+            await scene.until(lambda: has_quota_left(program))
             for engine in scene.engines:
                 engine.always = platform_target.Refuse()
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(program.quotas.statuses()[0].used, 0)
 
-        scene_lib.play(story, quota_window_s=WINDOW_S)
+        scene_lib.play(scenario, quota_window_s=WINDOW_S)
 
-    def test_quota_in_force_is_the_newest(self):
-        async def story(scene):
+    def test_changed_quota_takes_effect(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants())
             program = scene.program
             await scene.until(program.quotas.statuses)
@@ -208,10 +210,10 @@
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_request_beyond_any_window_is_refused_for_good(self):
-        async def story(scene):
+    def test_request_larger_than_the_limit_gets_no_retry_time(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants(rate=100, burst=100))
             program = scene.program
             await scene.until(program.quotas.statuses)
@@ -221,10 +223,10 @@
             self.assertEqual(answer.head.get(b"retry-after"), b"")
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_operators_see_quotas(self):
-        async def story(scene):
+    def test_operators_list_quotas(self):
+        async def scenario(scene):
             scene.configure(tenants=tenants())
             await scene.until(scene.program.quotas.statuses)
             address = scene.program.feed_server.address
@@ -234,9 +236,9 @@
             self.assertEqual(
                 [each["tenant"] for each in listed], ["tenant-one"]
             )
-            self.assertEqual(listed[0]["rate_per_s"], RATE)
+            self.assertEqual(listed[0]["rate_per_s"], RATE_PER_S)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/coordination/gateway/serving/test_target_limits.py
+++ b/tests/coordination/gateway/serving/test_target_limits.py
@@ -1,19 +1,9 @@
-"""Tests that targets get no more than the limit they name.
+"""Tests that targets get no more requests than the limit they announce.
 
-Seen: a target that had said it takes 1.5 requests a second got 18 within 4 s
-from hosts that it had told; 14 are allowed.
-
-How it came about: a target in need names its limit in its answers. All hosts
-went on to send to it what its place in the order of prompts gave it: 5.6 a
-second, as the targets beside it got.
-
-Cause: nothing in a host read what an answer says of a limit, and nothing
-counted what all hosts together send to one target.
-
-What proved it: the rate of the target was the same before and after it named
-its limit, at all hosts. Hosts that each kept the limit for themselves would
-have sent less; refusals that were heeded for too short a time were ruled out,
-since the target refused nothing.
+An overloaded target announces a limit in its answers. Guards against hosts that
+ignore it, and against hosts that do not count together what they send to the
+target: one that announced 1.5 requests a second then got 5.6 a second, as
+before and as much as other targets. It got 18 within 4 s, where 14 are allowed.
 """
 
 import bisect
@@ -29,19 +19,19 @@
 from tests.coordination.gateway.serving import test_quota
 
 LIMIT_PER_S = 2.0
-# A target judges its limit over any span of this length, and bears half as much
-# again and some requests more, for what hosts do not know of each other.
+# A target checks its limit over any window of this length. It allows half as
+# much again and some more requests, since hosts learn of usage late.
 WINDOW_S = 4.0
-ALLOWED = LIMIT_PER_S * WINDOW_S * 1.5 + 5
-# From a target's first answer with a limit until hosts keep it.
-TOLD_S = 0.5
-LENGTH_S = 6.0
-# Callers leave a moment between their requests: 40 a second from all of them.
+MAX_REQUESTS = LIMIT_PER_S * WINDOW_S * 1.5 + 5
+# Time from a target's first answer with a limit until all hosts apply it.
+NOTICE_DELAY_S = 0.5
+DURATION_S = 6.0
+# Callers pause between their requests: 40 a second from all of them.
 CALLERS = 6
 PAUSE_S = 0.15
 
 
-def most_in_a_window(target, since):
+def max_requests_in_a_window(target, since):
     """Returns the most requests that reached a target within any window."""
     times = [each.at for each in target.arrivals if each.at >= since]
     return max(
@@ -83,24 +73,26 @@
 
 
 class TargetLimitTest(unittest.TestCase):
-    def test_all_hosts_together_keep_within_it(self):
-        async def story(scene):
+    def test_hosts_together_stay_within_limit(self):
+        async def scenario(scene):
             programs = await hosts_that_list_each_other(scene, 3)
             limited = scene.engines[0]
             statuses = []
             await send_for(scene, programs, 1.0, statuses)
             self.assertTrue(limited.arrivals)
             limited.limit_per_s = LIMIT_PER_S
-            told_at = time.monotonic() + TOLD_S
-            await send_for(scene, programs, LENGTH_S, statuses)
-            self.assertLessEqual(most_in_a_window(limited, told_at), ALLOWED)
-            # What it cannot take, others serve.
+            applied_at = time.monotonic() + NOTICE_DELAY_S
+            await send_for(scene, programs, DURATION_S, statuses)
+            self.assertLessEqual(
+                max_requests_in_a_window(limited, applied_at), MAX_REQUESTS
+            )
+            # The other targets serve what exceeds its limit.
             self.assertEqual(set(statuses), {200})
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_limit_that_goes_is_told_to_all_hosts(self):
-        async def story(scene):
+    def test_removed_limit_is_lifted_at_all_hosts(self):
+        async def scenario(scene):
             programs = await hosts_that_list_each_other(scene, 2)
             limited = scene.engines[0]
             limited.limit_per_s = LIMIT_PER_S
@@ -121,10 +113,10 @@
             self.assertGreater(len(limited.arrivals) - count, 2 * LIMIT_PER_S)
             self.assertEqual(set(statuses), {200})
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_limit_that_changes_is_in_force_at_all_hosts(self):
-        async def story(scene):
+    def test_changed_limit_applies_at_all_hosts(self):
+        async def scenario(scene):
             programs = await hosts_that_list_each_other(scene, 2)
             limited = scene.engines[0]
             limited.limit_per_s = LIMIT_PER_S
@@ -138,10 +130,10 @@
             await send_for(scene, programs, 1.0, [])
             self.assertGreater(len(limited.arrivals) - count, 2 * LIMIT_PER_S)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_what_no_target_takes_is_refused_at_once(self):
-        async def story(scene):
+    def test_request_is_refused_at_once_if_all_targets_are_limited(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.limit_per_s = 1.0
             statuses, refused = [], []
@@ -152,7 +144,7 @@
                 if answer.head.status != 200:
                     refused.append((answer, time.monotonic() - asked_at))
             self.assertEqual(set(statuses), {200, 503})
-            # The refusal is true.
+            # The refused requests have reached no target.
             arrived = sum(len(target.arrivals) for target in scene.plain)
             self.assertEqual(arrived, statuses.count(200))
             for answer, seconds in refused:
@@ -162,23 +154,25 @@
                 self.assertGreater(after_s, 0.0)
                 self.assertLessEqual(after_s, WINDOW_S * 1.5)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_target_that_takes_nothing_is_asked_now_and_then(self):
-        async def story(scene):
+    def test_target_with_limit_zero_gets_occasional_requests(self):
+        async def scenario(scene):
             limited = scene.engines[0]
             limited.limit_per_s = 0.0
             await send_for(scene, [scene.program], 0.5, [])
-            told_at = time.monotonic()
+            applied_at = time.monotonic()
             await send_for(scene, [scene.program], 9.0, [])
-            since = [a for a in limited.arrivals if a.at > told_at]
+            since = [a for a in limited.arrivals if a.at > applied_at]
             self.assertGreaterEqual(len(since), 1)
-            self.assertLessEqual(most_in_a_window(limited, told_at), 2)
+            self.assertLessEqual(
+                max_requests_in_a_window(limited, applied_at), 2
+            )
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_what_does_not_reach_the_target_is_given_back(self):
-        async def story(scene):
+    def test_request_that_missed_its_target_is_refunded(self):
+        async def scenario(scene):
             limited = scene.engines[0]
             limited.limit_per_s = 50.0
             await send_for(scene, [scene.program], 1.0, [])
@@ -188,10 +182,10 @@
             await send_for(scene, [scene.program], WINDOW_S + 0.5, [])
             self.assertEqual(scene.program.limits.statuses()[0].used, 0)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_start_of_a_target_has_named_nothing(self):
-        async def story(scene):
+    def test_limit_of_a_removed_target_is_forgotten(self):
+        async def scenario(scene):
             limited = scene.engines[0]
             limited.limit_per_s = LIMIT_PER_S
             await send_for(scene, [scene.program], 0.5, [])
@@ -201,10 +195,10 @@
                 lambda: limited.name not in scene.program.limits.limits
             )
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_operators_see_limits(self):
-        async def story(scene):
+    def test_operators_list_limits(self):
+        async def scenario(scene):
             limited = scene.engines[0]
             limited.limit_per_s = LIMIT_PER_S
             await send_for(scene, [scene.program], 1.0, [])
@@ -217,7 +211,7 @@
             self.assertIn("hillthread_targets_limited 1.0", page)
             self.assertRegex(page, r"hillthread_limit_passes_total [1-9]")
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
 
 if __name__ == "__main__":
