--- a/hillthread/coordination/gateway/serving/announcement_keeper.py
+++ b/hillthread/coordination/gateway/serving/announcement_keeper.py
@@ -1,7 +1,7 @@
 """Applies what targets announce in their answers: departures and back-offs.
 
-A departure holds for all hosts, which are notified. A back-off is asked of one
-host and holds for that one.
+A departure applies to all hosts, which are notified. A back-off applies only to
+the host that received it.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 __all__ = ["AnnouncementKeeper"]
 
-# Unknown headers that are told apart; targets may send any number.
-_MAX_UNKNOWN = 32
-_OTHER = "other"
+# Unknown headers that are counted by name; targets may send any number.
+_MAX_UNKNOWN_HEADERS = 32
+_OTHER_HEADERS_LABEL = "other"
 
 _logger = logging.getLogger("hillthread.targets")
 
@@ -30,10 +30,10 @@
     """Applies announcements of targets and of peers.
 
     Attributes:
-        site: The host's beliefs.
+        site: The host's view of the targets.
         work: Sends notices to other hosts.
-        tasks: Where notices are sent again.
-        unknown: Unknown headers seen so far.
+        tasks: Runs the repeated sending of notices.
+        logged_headers: Unknown headers logged so far.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self.site = site
         self.work = work
         self.tasks = tasks
-        self.unknown: set[str] = set()
+        self.logged_headers: set[str] = set()
         work.apply_departure = self.apply_notice
 
     def apply_answer(
@@ -53,13 +53,13 @@
     ) -> None:
         """Applies what an answer announced, unless its target has restarted.
 
-        An announcement holds also for a target whose entry is missing: it may
+        An announcement also applies to a target whose entry is missing: it may
         be listed again.
 
         Args:
-            target: To which the request was sent.
+            target: Name of the target that the request was sent to.
             incarnation: Key of the target's incarnation at that time.
-            meaning: What the head of the answer says.
+            meaning: The decoded head of the answer.
         """
         for header in meaning.unknown_headers:
             self._count_unknown(target, header)
@@ -73,19 +73,22 @@
             self.site.request_backoff(target, meaning.backoff_s, clock.now())
 
     def apply_notice(self, notice: work_notice.DepartureNotice) -> None:
-        """Applies a departure that another host was told of."""
+        """Applies a departure that was announced to another host."""
         target = self.site.targets.name_of(notice.engine)
         if target is not None:
             self.site.mark_leaving(target, "host")
 
     def _count_unknown(self, target: str, header: str) -> None:
         """Counts a header that may announce something, and logs it once."""
-        if header not in self.unknown and len(self.unknown) >= _MAX_UNKNOWN:
-            header = _OTHER
+        if (
+            header not in self.logged_headers
+            and len(self.logged_headers) >= _MAX_UNKNOWN_HEADERS
+        ):
+            header = _OTHER_HEADERS_LABEL
         self.site.metrics.unknown_headers.labels(header).inc()
-        if header in self.unknown:
+        if header in self.logged_headers:
             return
-        self.unknown.add(header)
+        self.logged_headers.add(header)
         _logger.warning(
             "unknown header",
             extra={
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -1,8 +1,8 @@
-"""Keeps requests that end targets away from further targets.
+"""Keeps requests that crash targets away from further targets.
 
-Applies what attempts of this host show, notifies the other hosts, and keeps in
-the store what has to outlive them. `state/targets/quarantine.py` decides who is
-to blame.
+Records the outcomes of this host's attempts, notifies the other hosts, and
+writes to the store what has to outlive the hosts. `state/targets/quarantine.py`
+decides which request caused a crash.
 """
 
 from __future__ import annotations
@@ -34,49 +34,49 @@
 __all__ = ["QuarantineKeeper", "TargetIncarnation"]
 
 _STORE_RETRY_S = 1.0
-_STORE_TRIES = 5
-# Hosts that look after a record which a restored store has lost: the first of
+_STORE_ATTEMPTS = 5
+# Hosts that may rewrite a record which a restored store has lost; the first of
 # them may be gone.
-_REWRITING_HOSTS = 3
+_REWRITING_HOST_COUNT = 3
 
 _logger = logging.getLogger("hillthread.quarantine")
 
 
 class TargetIncarnation(NamedTuple):
-    """Where a request was sent.
+    """A target in one of its incarnations.
 
     Attributes:
-        target: The target's name.
-        incarnation: Stands for the start of it that was sent to.
+        target: Name of the target.
+        incarnation: Key of the incarnation.
     """
 
     target: str
     incarnation: int
 
 
-class _Entry(msgspec.Struct):
-    """What the store keeps of a request that ends targets.
+class _StoredSuspect(msgspec.Struct):
+    """The record in the store of a request that crashes targets.
 
     Attributes:
-        ended: The incarnations that ended.
-        last_at: Unix seconds of the last end.
+        ended: Keys of the incarnations that crashed.
+        last_at: Unix time of the last crash, in seconds.
     """
 
     ended: list[int]
     last_at: float
 
 
-_decoder = msgspec.json.Decoder(_Entry)
+_decoder = msgspec.json.Decoder(_StoredSuspect)
 
 
 class QuarantineKeeper:
-    """What a host does about requests under which targets end.
+    """Enforces on one host the quarantine of requests that crash targets.
 
     Attributes:
-        site: The host's beliefs, the quarantine among them.
-        work: Tells other hosts.
-        store: Keeps what is to outlive the hosts.
-        tasks: Where others are told.
+        site: The host's view of the targets, and its quarantine.
+        work: Sends notices to other hosts.
+        store: Stores the records that outlive the hosts.
+        tasks: Runs writes to the store and the repeated sending of notices.
     """
 
     def __init__(
@@ -90,44 +90,44 @@
         self.work = work
         self.store = store
         self.tasks = tasks
-        self._cut_off: dict[str, int] = {}
-        self._stored: set[str] = set()
+        self._cut_incarnations: dict[str, int] = {}
+        self._stored_digests: set[str] = set()
         work.heard_of_suspects = self.apply_notice
 
-    # What attempts ask and show.
+    # Attempts.
 
     def admit(
-        self, request: intake.GatewayRequest, runs: int, tries_it: bool
+        self, request: intake.GatewayRequest, runs: int, is_trial: bool
     ) -> quarantine.QuarantineStatus:
-        """Returns how a request stands that is about to be sent.
+        """Returns the status of a request that is about to be sent.
 
         Args:
             request: The request.
-            runs: How often it may have run in this try.
-            tries_it: This try is the trial of a suspect already.
+            runs: How many of its attempts here may have run.
+            is_trial: Whether it is already being sent as a trial.
 
         Raises:
-            RefusalError: It is held, or has ended enough in this try.
+            RefusalError: It is held, or one of its attempts may have run.
         """
         now = clock.now()
-        standing = self.site.quarantine.status_of(request.digest, now)
-        if standing.ends < quarantine.HOLD_MIN_ENDS or (tries_it and not runs):
-            return standing
-        if not runs and not standing.held_s:
-            self._begin_trial(request.digest, now)
-            return standing
+        status = self.site.quarantine.status_of(request.digest, now)
+        if status.ends < quarantine.HOLD_MIN_ENDS or (is_trial and not runs):
+            return status
+        if not runs and not status.held_s:
+            self._start_trial(request.digest, now)
+            return status
         self.site.metrics.quarantined.inc()
         raise errors.RefusalError(
             "quarantined",
             503,
-            f"{standing.ends} targets ended while this request was open.",
-            "Change it, or come back after the time in Retry-After; operators "
-            "see and clear it with `hillthread-ctl quarantine`.",
-            retry_after_s=standing.held_s,
+            f"{status.ends} targets crashed while this request was open.",
+            "Change it, or retry after the time in Retry-After; operators list "
+            "and clear it with `hillthread-ctl quarantine`.",
+            retry_after_s=status.held_s,
         )
 
     def incarnation_of(self, target: str) -> TargetIncarnation:
-        """Returns the start of a target that what is sent now reaches."""
+        """Returns the current incarnation of a target."""
         return TargetIncarnation(target, self.site.targets.key_of(target))
 
     def record_outcome(
@@ -137,64 +137,64 @@
         result: outcome_lib.Outcome | None,
         is_cut: bool,
     ) -> None:
-        """Takes in how an attempt ended.
+        """Records the outcome of an attempt.
 
         Args:
-            request: What was sent.
-            sent: Where to.
-            result: How it ended; None when nobody waited for it any more.
-            is_cut: Its connection ended before its answer did, and not here.
+            request: The request.
+            sent: The incarnation that it was sent to.
+            result: The outcome; None if the caller no longer waited for it.
+            is_cut: Whether the target's side closed the connection before the
+                answer was complete.
         """
         now = clock.now()
-        known = self.site.quarantine
+        records = self.site.quarantine
         match result:
             case outcome_lib.Relayed() | outcome_lib.Whole():
-                if known.record_success(request.digest, now):
-                    self._acquitted(request.digest)
+                if records.record_success(request.digest, now):
+                    self._publish_clearing(request.digest)
             case outcome_lib.Lost() | outcome_lib.Broken() if is_cut:
                 entry = self.site.targets.entries.get(sent.target)
-                # One that leaves ends as planned.
+                # A target that is leaving ends as planned.
                 if entry is not None and not entry.leaving:
-                    self._cut_off[sent.target] = sent.incarnation
-                    known.record_disconnect(
+                    self._cut_incarnations[sent.target] = sent.incarnation
+                    records.record_disconnect(
                         request.digest, sent.incarnation, now
                     )
 
-    # What is found of targets.
+    # Targets.
 
     def record_target_reached(self, target: str) -> None:
-        """Notes that a connection to a target came up."""
-        incarnation = self._cut_off.get(target)
+        """Records that a connection to a target succeeded."""
+        incarnation = self._cut_incarnations.get(target)
         if incarnation is not None:
             self.site.quarantine.mark_reachable(incarnation)
 
     def record_target_end(self, target: str, evidence: str) -> None:
-        """Notes that a target is gone, or has started again.
+        """Records that a target is gone or has restarted.
 
         Args:
-            target: Its name.
-            evidence: What shows it, for the log.
+            target: Name of the target.
+            evidence: How this was detected, for the log.
         """
-        incarnation = self._cut_off.pop(target, None)
+        incarnation = self._cut_incarnations.pop(target, None)
         if incarnation is None:
             return
         now = clock.now()
         digests = self.site.quarantine.confirm_end(incarnation, now)
         if not digests:
             return
-        standings = {
+        statuses = {
             digest: self.site.quarantine.status_of(digest, now)
             for digest in digests
         }
         _logger.warning(
-            "target ended",
+            "target crashed",
             extra={
                 "event": "target_ended",
                 "target": target,
                 "evidence": evidence,
                 "open": {
-                    digest: standing.ends
-                    for digest, standing in standings.items()
+                    digest: status.ends for digest, status in statuses.items()
                 },
             },
         )
@@ -205,62 +205,62 @@
                 for digest in digests
             ]
         )
-        for digest, standing in standings.items():
-            if standing.ends >= quarantine.CULPRIT_MIN_ENDS:
-                self._convicted(digest, standing)
+        for digest, status in statuses.items():
+            if status.ends >= quarantine.CULPRIT_MIN_ENDS:
+                self._publish_hold(digest, status)
 
-    # What others tell.
+    # Peers and the store.
 
     def apply_notice(self, notice: work_notice.SuspectNotice) -> None:
-        """Takes in what another host has seen of a request."""
+        """Applies what another host has seen of a request."""
         now = clock.now()
-        known = self.site.quarantine
+        records = self.site.quarantine
         match notice.word:
             case work_notice.SuspectWord.WELL:
-                known.record_success(notice.digest, now)
+                records.record_success(notice.digest, now)
             case work_notice.SuspectWord.TRIED:
-                known.begin_trial(notice.digest, now)
+                records.begin_trial(notice.digest, now)
             case work_notice.SuspectWord.ENDED:
-                known.record_end(notice.digest, notice.engine, now)
+                records.record_end(notice.digest, notice.engine, now)
 
     def apply_record(self, record: topic_copy.TopicRecord) -> None:
-        """Takes in what the store keeps of a request.
+        """Applies the record of a request in the store.
 
         Raises:
-            ConfigurationError: The entry is unreadable.
+            ConfigurationError: The record is unreadable.
         """
         digest = record.key.removeprefix(host_registry.QUARANTINE_PREFIX)
         if not record.value:
-            self._stored.discard(digest)
+            self._stored_digests.discard(digest)
             self.site.quarantine.clear(digest)
             return
         entry = payloads.decode_payload(_decoder, record.value, "quarantine")
-        self._stored.add(digest)
+        self._stored_digests.add(digest)
         now = clock.now()
-        # The time of day may have been set back since.
+        # The system clock may have been set back since.
         ago_s = max(0.0, time.time() - entry.last_at)
         for incarnation in entry.ended:
             self.site.quarantine.record_end(digest, incarnation, now, ago_s)
 
     def restore_record(self, key: str, is_lost: Callable[[str], bool]) -> None:
-        """Has a record written again that a restored store has lost.
+        """Rewrites a record that a restored store has lost.
 
-        Hosts agree on the order in which they look after it, so that mostly
-        the first one writes.
+        All hosts compute the same ranking for a record and delay the write by
+        their rank, so that usually only the first one writes it.
 
         Args:
-            key: Of the record.
+            key: Key of the record.
             is_lost: Returns whether the store still lacks a record.
         """
         ranked = placement.rank_by_rendezvous(
             key.encode(), list(self.work.source.hosts)
-        )[:_REWRITING_HOSTS]
+        )[:_REWRITING_HOST_COUNT]
         name = self.work.source.name
         if name in ranked:
             rank = ranked.index(name)
-            self.tasks.start_soon(self._restore_record, key, rank, is_lost)
+            self.tasks.start_soon(self._restore_after_delay, key, rank, is_lost)
 
-    async def _restore_record(
+    async def _restore_after_delay(
         self, key: str, rank: int, is_lost: Callable[[str], bool]
     ) -> None:
         spread_s = host_registry.rewrite_spread_s(self.site.hosts)
@@ -269,59 +269,61 @@
         ended = self.site.quarantine.ended_incarnations(digest)
         if not ended or not is_lost(key):
             return
-        entry = _Entry(sorted(ended), time.time())
-        await self._store(digest, msgspec.json.encode(entry))
+        entry = _StoredSuspect(sorted(ended), time.time())
+        await self._write_record(digest, msgspec.json.encode(entry))
 
-    # What operators ask.
+    # Operators.
 
     def suspects(self) -> list[quarantine.Suspect]:
-        """Returns all requests under which targets ended, the worst first."""
+        """Returns all requests during which targets crashed, worst first."""
         return self.site.quarantine.suspects(clock.now())
 
     def clear(self, digest: str) -> bool:
-        """Has all hosts forget a suspect; returns whether it was one."""
+        """Clears a suspect on all hosts; returns whether it was one."""
         was_suspect = self.site.quarantine.record_success(digest, clock.now())
-        if was_suspect or digest in self._stored:
-            self._acquitted(digest)
+        if was_suspect or digest in self._stored_digests:
+            self._publish_clearing(digest)
         return was_suspect
 
-    def _begin_trial(self, digest: str, now: float) -> None:
-        """Tries a suspect, for all hosts."""
+    def _start_trial(self, digest: str, now: float) -> None:
+        """Starts the trial of a suspect and notifies the other hosts."""
         self.site.quarantine.begin_trial(digest, now)
         word = work_notice.SuspectWord.TRIED
         self._notify([work_notice.SuspectNotice(digest, 0, word)])
 
-    def _acquitted(self, digest: str) -> None:
-        """Has others know that a request ended well."""
+    def _publish_clearing(self, digest: str) -> None:
+        """Notifies all hosts that a request is no longer a suspect."""
         _logger.info(
-            "suspect ended well",
+            "suspect cleared",
             extra={"event": "suspect_cleared", "digest": digest},
         )
         word = work_notice.SuspectWord.WELL
         self._notify([work_notice.SuspectNotice(digest, 0, word)])
-        if digest in self._stored:
-            self.tasks.start_soon(self._store, digest, b"")
+        if digest in self._stored_digests:
+            self.tasks.start_soon(self._write_record, digest, b"")
 
-    def _convicted(
-        self, digest: str, standing: quarantine.QuarantineStatus
+    def _publish_hold(
+        self, digest: str, status: quarantine.QuarantineStatus
     ) -> None:
-        """Has all hosts know of a request, also those that start later."""
+        """Stores that a request is held, also for hosts that start later."""
         _logger.warning(
             "request held",
             extra={
                 "event": "request_held",
                 "digest": digest,
-                "ends": standing.ends,
-                "held_s": round(standing.held_s, 3),
+                "ends": status.ends,
+                "held_s": round(status.held_s, 3),
             },
         )
         ended = self.site.quarantine.ended_incarnations(digest)
-        entry = _Entry(sorted(ended), time.time())
-        self._stored.add(digest)
-        self.tasks.start_soon(self._store, digest, msgspec.json.encode(entry))
+        entry = _StoredSuspect(sorted(ended), time.time())
+        self._stored_digests.add(digest)
+        self.tasks.start_soon(
+            self._write_record, digest, msgspec.json.encode(entry)
+        )
 
     def _notify(self, notices: list[work_notice.SuspectNotice]) -> None:
-        """Notifies all hosts, at once and some times more."""
+        """Notifies all hosts, now and some more times."""
 
         def send() -> None:
             still_true = [each for each in notices if self._is_valid(each)]
@@ -333,7 +335,7 @@
     def _is_valid(self, notice: work_notice.SuspectNotice) -> bool:
         """Returns whether a notice is still true.
 
-        A stale probe notice would make peers wait for a probe that has
+        A stale trial notice would make peers wait for a trial that has
         finished.
         """
         if notice.word is not work_notice.SuspectWord.TRIED:
@@ -342,15 +344,18 @@
             notice.digest, clock.now()
         )
 
-    async def _store(self, digest: str, value: bytes) -> None:
-        """Writes a record, or removes it; hosts that hold it know it anyway."""
+    async def _write_record(self, digest: str, value: bytes) -> None:
+        """Writes a record, or removes it if the value is empty.
+
+        A failed write is only logged, since all hosts are notified as well.
+        """
         key = host_registry.QUARANTINE_PREFIX + digest
-        for _ in range(_STORE_TRIES):
+        for _ in range(_STORE_ATTEMPTS):
             try:
                 await self.store.put(host_registry.HOSTS_TOPIC, key, value)
             except errors.HillthreadError as error:
                 _logger.warning(
-                    "quarantine not kept",
+                    "quarantine record not stored",
                     extra={
                         "event": "quarantine_unkept",
                         "digest": digest,
--- a/tests/coordination/gateway/serving/test_deadly_requests.py
+++ b/tests/coordination/gateway/serving/test_deadly_requests.py
@@ -1,20 +1,12 @@
-"""Tests that a request which ends its targets is not sent on and on.
-
-Seen: under one request three engines had ended, and it was sent to engines 11
-times more. 22 engines ended under it in all, with all that ran on them;
-of the prompts sent in 7 s of these, 4 of 139 were answered in time.
-
-How it came about: each engine that began the request ended. Its caller sent it
-again, each time under a new id, and each time to a host of the balancer's
-choice.
-
-Cause: hosts counted runs by request id, each for itself. To each of them each
-try was a new request, which goes to the next engine.
-
-What proved it: of twelve engines that ended in a row, ten had that one caller's
-path open, and no other path was open on more than three.
-Overload was ruled out: the first ones ended under 3 to 5 open requests, with
-empty queues; so was a budget shared wrongly: each host counted 8 hosts.
+"""Tests that a request which crashes its targets is not sent again and again.
+
+The caller retries such a request, each time with a new ID and at a host that
+the balancer chooses. Guards against hosts that count its attempts by request
+ID, each on its own: every retry is a new request to them and crashes the next
+engine. After three crashes one request was sent to engines 11 more times. 22
+engines crashed in all, and of the prompts sent within 7 s of that, 4 of 139
+were answered in time. The engines were not overloaded: the first ones had 3 to
+5 open requests and empty queues.
 """
 
 import contextlib
@@ -33,43 +25,43 @@
 from tests.coordination.gateway import scene as scene_lib
 from tests.coordination.gateway.peers import test_feed
 
-DEADLY = b"ends whoever runs it"
-# Engines are back so soon.
-DOWN_S = 0.15
-# The caller comes again, at any host.
-TRIES = 30
+DEADLY_BODY = b"ends whoever runs it"
+# Time after which a crashed engine is back.
+RESTART_DELAY_S = 0.15
+# Requests of the caller, to any host.
+CALLS = 30
 PAUSE_S = 0.1
-# Three must end before a request can be told from those that ran beside it;
-# two hosts may hold it at the same moment.
-MOST_ENDS = 4
-# A caller who comes back in the 5 s after is served from 2 s on.
+# Three engines must crash before a request can be told from those that ran
+# beside it, and two hosts may send it at the same time.
+MAX_CRASHES = 4
+# Of the requests in the next 5 s, those from 2 s on are served.
 SERVED_SHARE = 0.5
 
 
-async def run_mortal(scene, target):
-    """Has a target listen; after each end it is back under another name."""
+async def run_crashing_target(scene, target):
+    """Runs a target; after each crash it restarts under another name."""
     port = int(target.address.rpartition(":")[2])
     name = target.name
     for number in itertools.count(1):
         with anyio.CancelScope() as scope:
             target.end = scope.cancel
             await target.server.serve()
-        await anyio.sleep(DOWN_S)
+        await anyio.sleep(RESTART_DELAY_S)
         scene.store.remove("keyed.servers", target.name)
         target.name = f"{name}-{number}"
         target.restart(port)
         scene.list_target(target)
 
 
-async def make_mortal(scene):
-    """Has targets of a scene that is about to start end under a body."""
-    scene.listen = functools.partial(run_mortal, scene)
+async def make_targets_crash(scene):
+    """Has the targets of a scene crash when they run the deadly body."""
+    scene.listen = functools.partial(run_crashing_target, scene)
     for target in scene.targets:
-        target.deadly = {DEADLY}
+        target.deadly = {DEADLY_BODY}
 
 
 async def start_hosts(scene, count=3):
-    """Returns so many hosts, in all, that know each other."""
+    """Starts hosts; returns all once they know each other."""
     hosts = [scene.program]
     for number in range(2, count + 1):
         centre = "here" if number % 2 else "elsewhere"
@@ -85,7 +77,7 @@
 
 
 async def call(scene, host, request):
-    """Returns the status of a host's answer; 0 when it was broken off."""
+    """Returns the status of a host's answer; 0 if the answer was cut."""
     scene.program = host
     try:
         answer = await scene.call(request)
@@ -94,15 +86,15 @@
     return answer.head.status
 
 
-def runs(scene, body):
-    """Returns how often a body was run by any engine."""
+def count_runs(scene, body):
+    """Returns how often engines ran a body."""
     return sum(
         run.request.body == body for e in scene.engines for run in e.runs
     )
 
 
-async def end_under(scene, count):
-    """Ends so many engines, each as soon as it has begun a request."""
+async def crash_while_running(scene, count):
+    """Crashes `count` engines, each when it has begun a request."""
     begun = {engine: len(engine.runs) for engine in scene.engines}
     while count:
         await anyio.sleep(0.01)
@@ -113,10 +105,10 @@
                 count -= 1
 
 
-async def call_many(scene, hosts, tries, body):
-    """Has a caller come again and again; returns all statuses."""
+async def call_many(scene, hosts, calls, body):
+    """Sends a request `calls` times; returns all statuses."""
     statuses = []
-    for number in range(tries):
+    for number in range(calls):
         request = scene.prompt("/resume/one", body=body)
         host = hosts[number % len(hosts)]
         statuses.append(await call(scene, host, request))
@@ -124,17 +116,17 @@
     return statuses
 
 
-async def ask_operator(address, **options):
+async def run_quarantine_command(address, **options):
     """Returns what `hillthread-ctl quarantine` prints."""
-    told = io.StringIO()
-    with contextlib.redirect_stdout(told):
+    printed = io.StringIO()
+    with contextlib.redirect_stdout(printed):
         command = functools.partial(ctl.Ctl(address).quarantine, **options)
         await anyio.to_thread.run_sync(command)
-    return told.getvalue()
+    return printed.getvalue()
 
 
-def standing(host, request_body):
-    """Returns how a host's quarantine takes a body sent to `/resume/one`."""
+def read_quarantine_status(host, request_body):
+    """Returns the status of a body sent to `/resume/one` at a host."""
     digest = request_digest.request_digest(
         "tenant-one", b"POST", scene_lib.HOST, b"/resume/one", request_body
     )
@@ -142,24 +134,24 @@
 
 
 class DeadlyRequestTest(unittest.TestCase):
-    def test_request_that_ends_its_engines_is_not_sent_on_and_on(self):
-        async def story(scene):
+    def test_request_that_crashes_engines_is_held(self):
+        async def scenario(scene):
             hosts = await start_hosts(scene)
-            for number in range(TRIES):
+            for number in range(CALLS):
                 host = hosts[number % len(hosts)]
-                request = scene.prompt("/resume/deadly", body=DEADLY)
+                request = scene.prompt("/resume/deadly", body=DEADLY_BODY)
                 status = await call(scene, host, request)
                 self.assertIn(status, (0, 502, 503))
                 await anyio.sleep(PAUSE_S)
-            self.assertLessEqual(runs(scene, DEADLY), MOST_ENDS)
+            self.assertLessEqual(count_runs(scene, DEADLY_BODY), MAX_CRASHES)
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
-    def test_host_that_starts_later_knows_it(self):
-        async def story(scene):
+    def test_host_that_starts_later_holds_it(self):
+        async def scenario(scene):
             hosts = await start_hosts(scene, 2)
-            await call_many(scene, hosts, 20, DEADLY)
-            before = runs(scene, DEADLY)
+            await call_many(scene, hosts, 20, DEADLY_BODY)
+            before = count_runs(scene, DEADLY_BODY)
             await scene.until(
                 lambda: any(
                     key.startswith(host_registry.QUARANTINE_PREFIX)
@@ -167,37 +159,45 @@
                 )
             )
             late = await test_feed.second_host(scene, host="h9")
-            statuses = await call_many(scene, [late], 3, DEADLY)
+            statuses = await call_many(scene, [late], 3, DEADLY_BODY)
             self.assertEqual(statuses, [503] * 3)
-            self.assertEqual(runs(scene, DEADLY), before)
+            self.assertEqual(count_runs(scene, DEADLY_BODY), before)
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
-    def test_host_that_gets_no_packets_learns_of_it_from_the_store(self):
-        async def story(scene):
+    def test_host_without_notices_reads_it_from_the_store(self):
+        async def scenario(scene):
             hosts = await start_hosts(scene, 2)
-            deaf = hosts[1]
-            deaf.work.heard_of_suspects = lambda notice: None
-            await call_many(scene, hosts[:1], 40, DEADLY)
-            await scene.until(lambda: standing(deaf, DEADLY).ends == 4)
-            self.assertGreater(standing(deaf, DEADLY).held_s, 20.0)
+            unnotified = hosts[1]
+            unnotified.work.heard_of_suspects = lambda notice: None
+            await call_many(scene, hosts[:1], 40, DEADLY_BODY)
+            await scene.until(
+                lambda: (
+                    read_quarantine_status(unnotified, DEADLY_BODY).ends == 4
+                )
+            )
+            self.assertGreater(
+                read_quarantine_status(unnotified, DEADLY_BODY).held_s, 20.0
+            )
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
-    def test_operator_sees_and_clears_it(self):
-        async def story(scene):
+    def test_operator_lists_and_clears_it(self):
+        async def scenario(scene):
             hosts = await start_hosts(scene, 2)
-            await call_many(scene, hosts, 20, DEADLY)
+            await call_many(scene, hosts, 20, DEADLY_BODY)
             for engine in scene.engines:
                 engine.deadly = frozenset()
             address = hosts[0].feed_server.address
-            listed = await ask_operator(address)
+            listed = await run_quarantine_command(address)
             self.assertIn(" 3 ends, ", listed)
             digest = listed.split()[0]
-            told = await ask_operator(address, clear=digest)
-            self.assertEqual(told, f"{digest} is cleared\n")
-            await scene.until(lambda: not standing(hosts[1], DEADLY).ends)
-            statuses = await call_many(scene, hosts, 2, DEADLY)
+            printed = await run_quarantine_command(address, clear=digest)
+            self.assertEqual(printed, f"{digest} is cleared\n")
+            await scene.until(
+                lambda: not read_quarantine_status(hosts[1], DEADLY_BODY).ends
+            )
+            statuses = await call_many(scene, hosts, 2, DEADLY_BODY)
             self.assertEqual(statuses, [200, 200])
             await scene.until(
                 lambda: (
@@ -206,14 +206,14 @@
                 )
             )
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
 
 class HarmlessRequestTest(unittest.TestCase):
-    """What is not to be held: each of these took part in some end."""
+    """Requests that ran on crashed engines, but must not be held."""
 
-    def test_request_beside_ends_of_other_causes_is_served_afterwards(self):
-        async def story(scene):
+    def test_request_that_ran_during_unrelated_crashes_is_served(self):
+        async def scenario(scene):
             hosts = await start_hosts(scene)
             for engine in scene.engines:
                 request = scene.prompt("/resume/one", body=b"harmless")
@@ -228,25 +228,27 @@
             statuses = await call_many(scene, hosts, 20, b"harmless")
             self.assertEqual(statuses, [200] * 20)
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
-    def test_request_alone_on_three_that_ended_is_served_soon(self):
-        """Its engines ended for other causes, and nothing ran beside it.
+    def test_request_alone_on_three_crashed_engines_is_served_soon(self):
+        """Guards against a long hold while no other request can be the cause.
 
-        Seen: such a prompt was served 6 times of 20 in the seconds after, and
-        20 times before requests were held: three ends were held against it for
-        30 s, since nothing else could have caused them.
+        The engines crash for other causes while nothing runs beside the
+        request. When three crashes had it held for 30 s, it was served 6 times
+        of 20 in the seconds after; without the hold, 20 times.
         """
 
-        async def story(scene):
+        async def scenario(scene):
             hosts = await start_hosts(scene)
             for engine in scene.engines:
                 engine.always = platform_target.Serve(0.2)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call_many, scene, hosts, 40, b"harmless")
-                await end_under(scene, 3)
+                await crash_while_running(scene, 3)
                 await scene.until(
-                    lambda: standing(hosts[0], b"harmless").ends == 3
+                    lambda: (
+                        read_quarantine_status(hosts[0], b"harmless").ends == 3
+                    )
                 )
                 tasks.cancel_scope.cancel()
             for engine in scene.engines:
@@ -258,10 +260,10 @@
             served = statuses.count(200) / len(statuses)
             self.assertGreaterEqual(served, SERVED_SHARE)
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
-    def test_all_that_ran_beside_a_deadly_one_are_served(self):
-        async def story(scene):
+    def test_requests_beside_a_deadly_one_are_served(self):
+        async def scenario(scene):
             hosts = await start_hosts(scene)
             for engine in scene.engines:
                 engine.always = platform_target.Serve(0.05)
@@ -270,16 +272,16 @@
                 for body in others:
                     tasks.start_soon(call_many, scene, hosts, 8, body)
                 await anyio.sleep(0.05)
-                tasks.start_soon(call_many, scene, hosts, 8, DEADLY)
+                tasks.start_soon(call_many, scene, hosts, 8, DEADLY_BODY)
             for body in others:
                 with self.subTest(body=body):
                     statuses = await call_many(scene, hosts, 3, body)
                     self.assertEqual(statuses, [200] * 3)
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
-    def test_cut_answer_of_a_target_that_lives_is_no_end(self):
-        async def story(scene):
+    def test_cut_answer_of_a_live_target_is_no_crash(self):
+        async def scenario(scene):
             for behaviour in (
                 platform_target.Vanish(),
                 platform_target.Cut(1),
@@ -289,13 +291,15 @@
                     engine.behave(*[behaviour] * 2)
                 await call_many(scene, [scene.program], 2, b"harmless")
             await scene.until(
-                lambda: not standing(scene.program, b"harmless").ends
+                lambda: (
+                    not read_quarantine_status(scene.program, b"harmless").ends
+                )
             )
 
-        scene_lib.play(story, engines=2)
+        scene_lib.play(scenario, engines=2)
 
-    def test_target_that_leaves_as_planned_is_no_end(self):
-        async def story(scene):
+    def test_planned_departure_is_no_crash(self):
+        async def scenario(scene):
             (engine,) = scene.engines
             engine.always = platform_target.Serve(0.3)
             request = scene.prompt("/resume/one", body=b"harmless")
@@ -307,19 +311,21 @@
                     lambda: engine.name in scene.site.targets.leaving
                 )
                 engine.end()
-            self.assertEqual(standing(scene.program, b"harmless").ends, 0)
+            self.assertEqual(
+                read_quarantine_status(scene.program, b"harmless").ends, 0
+            )
 
-        scene_lib.play(story, engines=1, before=make_mortal)
+        scene_lib.play(scenario, engines=1, before=make_targets_crash)
 
     def test_another_organisation_is_not_refused(self):
-        async def story(scene):
+        async def scenario(scene):
             hosts = await start_hosts(scene, 2)
-            await call_many(scene, hosts, 12, DEADLY)
+            await call_many(scene, hosts, 12, DEADLY_BODY)
             for engine in scene.engines:
                 engine.deadly = frozenset()
             request = scene.prompt(
-                "/resume/one", body=DEADLY, authorization="Bearer key-two"
+                "/resume/one", body=DEADLY_BODY, authorization="Bearer key-two"
             )
             self.assertEqual(await call(scene, hosts[0], request), 200)
 
-        scene_lib.play(story, engines=5, before=make_mortal)
+        scene_lib.play(scenario, engines=5, before=make_targets_crash)
--- a/tests/coordination/gateway/serving/test_target_announcements.py
+++ b/tests/coordination/gateway/serving/test_target_announcements.py
@@ -15,24 +15,24 @@
 
 CALLERS = 4
 PAUSE_S = 0.04
-# A target judges its back-off from then on after its refusal.
-IN_FLIGHT_S = 0.5
-MOST_IN_BACKOFF = 2
+# After this time a target counts the requests that it gets in its back-off.
+BACKOFF_DELAY_S = 0.5
+MAX_ARRIVALS_IN_BACKOFF = 2
 
 
-def prompt(scene, number):
-    """Returns a prompt; all of them together reach every engine."""
+def make_prompt(scene, number):
+    """Returns a prompt; the prompts of several numbers reach all engines."""
     prefix = f"aa:300,p{number % 7}:500,r{number}:100"
     return scene.prompt("/stream/x", x_prompt_prefix=prefix)
 
 
-def plain(scene, number):
+def make_plain_request(scene, number):
     """Returns a request for the plain service."""
     del number
     return scene.request("/once/x")
 
 
-async def send_for(scene, seconds, make=prompt):
+async def send_for(scene, seconds, make=make_prompt):
     """Has callers send requests; returns the statuses of the answers."""
     statuses = []
 
@@ -50,7 +50,7 @@
     return statuses
 
 
-def arrivals_between(target, begin, end):
+def count_arrivals(target, begin, end):
     """Returns how many requests reached a target within a time."""
     return sum(begin <= each.at <= end for each in target.arrivals)
 
@@ -60,34 +60,34 @@
     # departure while the list of targets still had it as ready.
     def test_no_request_follows_an_announced_departure(self):
         for drain_s in (0.5, 1.0, 2.0):
-            for make in (prompt, plain):
+            for make in (make_prompt, make_plain_request):
                 with self.subTest(drain_s=drain_s, make=make.__name__):
                     scene_lib.play(
-                        lambda scene, d=drain_s, m=make: self.announce(
+                        lambda scene, d=drain_s, m=make: self.check_departure(
                             scene, d, m
                         ),
                         drain_ms=drain_s * 1000,
                     )
 
-    async def announce(self, scene, drain_s, make):
-        target = scene.engines[0] if make is prompt else scene.plain[0]
+    async def check_departure(self, scene, drain_s, make):
+        target = scene.engines[0] if make is make_prompt else scene.plain[0]
         await send_for(scene, 0.3, make)
         self.assertTrue(target.arrivals)
         target.announces_leaving = True
         await send_for(scene, 0.3, make)
         late_at = time.monotonic() + drain_s
         statuses = await send_for(scene, drain_s + 0.5, make)
-        self.assertEqual(arrivals_between(target, late_at, float("inf")), 0)
+        self.assertEqual(count_arrivals(target, late_at, float("inf")), 0)
         # The other targets serve what it would have got.
         self.assertEqual(set(statuses), {200})
 
     # Guards against a departure that is forgotten when the store, down
     # meanwhile, comes back without the target's entry, and then with it.
     def test_departure_outlasts_an_outage_that_drops_the_entry(self):
-        async def story(scene):
+        async def scenario(scene):
             target = scene.plain[0]
             target.announces_leaving = True
-            await send_for(scene, 0.3, plain)
+            await send_for(scene, 0.3, make_plain_request)
             scene.store.faults.status = 503
             await scene.until(lambda: scene.site.is_store_lost)
             scene.store.faults.status = 0
@@ -97,17 +97,17 @@
             scene.list_target(target)
             await scene.until(lambda: target.name in entries)
             late_at = time.monotonic()
-            statuses = await send_for(scene, 0.5, plain)
+            statuses = await send_for(scene, 0.5, make_plain_request)
             self.assertEqual(set(statuses), {200})
-            self.assertEqual(arrivals_between(target, late_at, float("inf")), 0)
+            self.assertEqual(count_arrivals(target, late_at, float("inf")), 0)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_departure_ends_with_the_start_that_announced_it(self):
-        async def story(scene):
+    def test_departure_ends_when_the_target_restarts(self):
+        async def scenario(scene):
             target = scene.plain[0]
             target.announces_leaving = True
-            await send_for(scene, 0.3, plain)
+            await send_for(scene, 0.3, make_plain_request)
             self.assertTrue(scene.site.targets.entries[target.name].leaving)
             scene.stop_listening(target)
             target.restart()
@@ -116,15 +116,15 @@
             entries = scene.site.targets.entries
             await scene.until(lambda: not entries[target.name].leaving)
             began_at = time.monotonic()
-            await send_for(scene, 0.5, plain)
-            self.assertTrue(arrivals_between(target, began_at, float("inf")))
+            await send_for(scene, 0.5, make_plain_request)
+            self.assertTrue(count_arrivals(target, began_at, float("inf")))
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    # Guards against a new start that is excluded for good because an answer
-    # of the start before it came late.
-    def test_late_answer_of_an_earlier_start_announces_nothing(self):
-        async def story(scene):
+    # Guards against a restarted target that is excluded for good because of a
+    # late answer of its earlier incarnation.
+    def test_late_answer_of_an_earlier_incarnation_is_ignored(self):
+        async def scenario(scene):
             target = scene.plain[0]
             released = anyio.Event()
             target.behave(platform_target.Held(released))
@@ -135,7 +135,7 @@
             answers = []
 
             async def call():
-                answers.append(await scene.call(plain(scene, 0)))
+                answers.append(await scene.call(make_plain_request(scene, 0)))
 
             scene.tasks.start_soon(call)
             await scene.until(lambda: target.runs)
@@ -149,42 +149,43 @@
             await scene.until(lambda: answers)
             self.assertFalse(entries[target.name].leaving)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_operators_see_who_announced_a_departure(self):
-        async def story(scene):
+    def test_log_names_the_source_of_a_departure(self):
+        async def scenario(scene):
             target = scene.plain[0]
             target.announces_leaving = True
             with self.assertLogs("hillthread.site", "INFO") as logs:
-                await send_for(scene, 0.3, plain)
+                await send_for(scene, 0.3, make_plain_request)
             found = [
                 line
                 for line in logs.records
                 if getattr(line, "event", "") == "target_leaving"
             ]
-            told = [(line.target, line.source) for line in found]
-            self.assertEqual(told, [(target.name, "answer")])
+            logged = [(line.target, line.source) for line in found]
+            self.assertEqual(logged, [(target.name, "answer")])
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
     # Guards against a departure that each host learns only from an answer to
-    # a request of its own, while the list cannot tell it.
+    # a request of its own, while the list of targets does not show it.
     def test_departure_reaches_all_hosts(self):
-        async def story(scene):
+        async def scenario(scene):
             programs = await test_target_limits.hosts_that_list_each_other(
                 scene, 3
             )
             target = scene.plain[0]
             target.announces_leaving = True
-            await send_for(scene, 0.3, plain)  # to the first host only
+            # Only the first host gets requests.
+            await send_for(scene, 0.3, make_plain_request)
             for program in programs:
                 entries = program.site.targets.entries
                 await scene.until(lambda e=entries: e[target.name].leaving)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
     def test_report_announces_a_departure(self):
-        async def story(scene):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.announces_leaving = True
             target = scene.site.targets.entries[engine.name].target
@@ -192,17 +193,17 @@
             scene.site.take_report(engine.name, "m", report)
             self.assertTrue(scene.site.targets.entries[engine.name].leaving)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
 
 class UnknownHeaderTest(unittest.TestCase):
-    # Guards against an announcement that no host understands and nobody sees.
+    # Guards against new kinds of announcements that operators never learn of.
     def test_unknown_header_is_counted_and_logged_once(self):
-        async def story(scene):
+        async def scenario(scene):
             for target in scene.plain:
                 target.extra_headers = [(b"server-new", b"1")]
             with self.assertLogs("hillthread.targets", "WARNING") as logs:
-                await send_for(scene, 0.3, plain)
+                await send_for(scene, 0.3, make_plain_request)
             found = [
                 line.header
                 for line in logs.records
@@ -214,21 +215,21 @@
                 page, r'unknown_headers_total{header="server-new"} [1-9]'
             )
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_series_of_unknown_headers_are_bounded(self):
-        async def story(scene):
+    def test_number_of_unknown_header_series_is_bounded(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.extra_headers = [
                     (b"server-%d" % number, b"1") for number in range(40)
                 ]
-            await scene.call(plain(scene, 0))
+            await scene.call(make_plain_request(scene, 0))
             page = scene.program.metrics.page().decode()
             count = page.count("unknown_headers_total{")
             self.assertLessEqual(count, 33)
             self.assertIn('unknown_headers_total{header="other"}', page)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
 
 class BackoffTest(unittest.TestCase):
@@ -236,16 +237,16 @@
     # Retry-After whose time was not over.
     def test_no_request_reaches_a_target_in_its_backoff(self):
         for backoff_s in (0.8, 1.6, 3.2):
-            for make in (prompt, plain):
+            for make in (make_prompt, make_plain_request):
                 with self.subTest(backoff_s=backoff_s, make=make.__name__):
                     scene_lib.play(
-                        lambda scene, b=backoff_s, m=make: self.shed(
+                        lambda scene, b=backoff_s, m=make: self.check_backoff(
                             scene, b, m
                         )
                     )
 
-    async def shed(self, scene, backoff_s, make):
-        target = scene.engines[0] if make is prompt else scene.plain[0]
+    async def check_backoff(self, scene, backoff_s, make):
+        target = scene.engines[0] if make is make_prompt else scene.plain[0]
         await send_for(scene, 0.3, make)
         self.assertTrue(target.arrivals)
         target.backoff_s = backoff_s
@@ -255,22 +256,22 @@
         target.backoff_s = 0.0
         ends_at = shed_at + backoff_s
         statuses += await send_for(scene, ends_at - time.monotonic(), make)
-        begin = shed_at + IN_FLIGHT_S
-        count = arrivals_between(target, begin, ends_at)
-        self.assertLessEqual(count, MOST_IN_BACKOFF)
+        begin = shed_at + BACKOFF_DELAY_S
+        count = count_arrivals(target, begin, ends_at)
+        self.assertLessEqual(count, MAX_ARRIVALS_IN_BACKOFF)
         # The other targets serve what it would have got.
         self.assertEqual(set(statuses), {200})
         # It is used again when the time is over.
         await send_for(scene, 1.0, make)
-        self.assertTrue(arrivals_between(target, ends_at, float("inf")))
+        self.assertTrue(count_arrivals(target, ends_at, float("inf")))
 
     # Guards against a back-off that is forgotten with the entry of its target,
     # which lapses in an outage of the store and is written again.
     def test_backoff_outlasts_an_entry_that_lapses(self):
-        async def story(scene):
+        async def scenario(scene):
             target = scene.plain[0]
             target.backoff_s = 3.0
-            await send_for(scene, 0.3, plain)
+            await send_for(scene, 0.3, make_plain_request)
             entries = scene.site.targets.entries
             scene.store.remove("keyed.servers", target.name)
             await scene.until(lambda: target.name not in entries)
@@ -279,29 +280,29 @@
             ends_at = target.arrivals[0].at + 3.0
             began_at = time.monotonic()
             self.assertLess(began_at, ends_at - 1.0)
-            await send_for(scene, 1.0, plain)
-            count = arrivals_between(target, began_at, ends_at)
+            await send_for(scene, 1.0, make_plain_request)
+            count = count_arrivals(target, began_at, ends_at)
             self.assertEqual(count, 0)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
     def test_backoff_of_a_503_that_may_have_run(self):
-        async def story(scene):
+        async def scenario(scene):
             target = scene.plain[0]
             target.always = platform_target.Fail(503, retry_after_s=2.0)
-            await send_for(scene, 0.3, plain)
+            await send_for(scene, 0.3, make_plain_request)
             began_at = time.monotonic()
-            await send_for(scene, 1.0, plain)
-            count = arrivals_between(target, began_at, float("inf"))
+            await send_for(scene, 1.0, make_plain_request)
+            count = count_arrivals(target, began_at, float("inf"))
             self.assertEqual(count, 0)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_new_start_of_a_target_backs_off_no_more(self):
-        async def story(scene):
+    def test_backoff_ends_when_the_target_restarts(self):
+        async def scenario(scene):
             target = scene.plain[0]
             target.backoff_s = 30.0
-            await send_for(scene, 0.3, plain)
+            await send_for(scene, 0.3, make_plain_request)
             scene.stop_listening(target)
             target.restart()
             scene.tasks.start_soon(scene.listen, target)
@@ -309,13 +310,13 @@
             born_ms = scene.site.targets.born_ms
             await scene.until(lambda: born_ms[target.name] == target.born_ms)
             began_at = time.monotonic()
-            await send_for(scene, 0.5, plain)
-            self.assertTrue(arrivals_between(target, began_at, float("inf")))
+            await send_for(scene, 0.5, make_plain_request)
+            self.assertTrue(count_arrivals(target, began_at, float("inf")))
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
     def test_request_is_refused_at_once_while_all_targets_back_off(self):
-        async def story(scene):
+        async def scenario(scene):
             for target in scene.plain:
                 target.backoff_s = 2.0
             await scene.call(scene.request("/once/x"))
@@ -335,14 +336,14 @@
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_operators_see_departures_and_backoffs(self):
-        async def story(scene):
+    def test_operators_list_departures_and_backoffs(self):
+        async def scenario(scene):
             leaving, shedding = scene.plain
             leaving.announces_leaving = True
             shedding.backoff_s = 30.0
-            await send_for(scene, 0.5, plain)
+            await send_for(scene, 0.5, make_plain_request)
             address = scene.program.feed_server.address
             out = io.StringIO()
             with contextlib.redirect_stdout(out):
@@ -354,7 +355,7 @@
             self.assertIn("hillthread_targets_leaving 1.0", page)
             self.assertIn("hillthread_targets_backing_off 1.0", page)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
 
 if __name__ == "__main__":
