--- a/hillthread/coordination/gateway/serving/cache_source.py
+++ b/hillthread/coordination/gateway/serving/cache_source.py
@@ -1,8 +1,8 @@
-"""Where an attempt takes cached prefixes from, and where it keeps them.
+"""Chooses the store from which an attempt fetches KV cache, and saves to it.
 
-Every attempt may fetch from the store of KV cache, also when its events do not
-show a prefix yet: they lag behind what it holds. An engine that likely holds
-the prefix is a worse source, see docs/MEASUREMENTS.md.
+Every attempt may fetch from the store, even if the store's events do not list
+the prefix yet, because events lag behind the contents. An engine that probably
+holds the prefix is a worse source, see docs/MEASUREMENTS.md.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 
 
 def affinity_key(request: intake.GatewayRequest) -> bytes:
-    """Returns what requests that share their longest prefix have in common."""
+    """Returns a key that requests with the same longest shared prefix share."""
     parts = request.prompt.parts
     last_shared = parts[-2] if len(parts) > 1 else parts[-1]
     return f"{request.organisation}/{last_shared.digest}".encode()
 
 
 class CachePlanner:
-    """Adds to the plan of an attempt what it fetches and saves.
+    """Adds to the plans of attempts what they fetch and save.
 
     Attributes:
-        site: The host's beliefs.
-        watch: Knows what the stores of KV cache hold.
-        budgets: Bound what is saved, by the store's address.
+        site: The host's view of the configuration.
+        watch: Tracks the contents of the stores of KV cache.
+        budgets: Limits on what is saved, by the address of the store.
     """
 
     def __init__(self, site: site_lib.Site, pool: http1_client.ConnectionPool):
@@ -48,20 +48,21 @@
         request: intake.GatewayRequest,
         token_bytes: float,
     ) -> attempt_plan.AttemptPlan:
-        """Returns the plan with sources and keepers of KV cache.
+        """Returns the plan with the store to fetch from and to save to.
 
         Args:
-            plan: For a target with known weights; others are left alone.
+            plan: The plan; returned as it is if the weights of its target are
+                not known.
             request: The caller's request.
-            token_bytes: Bytes of KV cache for each token; 0 when not known.
+            token_bytes: Bytes of KV cache for each token; 0 if not known.
         """
         if plan.weights_version is None or not request.prompt.parts:
             return plan
-        store = self._store(affinity_key(request))
+        store = self._choose_store(affinity_key(request))
         if store is None:
             return plan
         saves = self.watch.may_lack(
-            store.address, _events(request, plan.cache_scope)
+            store.address, _list_expected_events(request, plan.cache_scope)
         ) and self._may_save(store, request, token_bytes)
         return plan._replace(
             fetch_from=store.address, save_to=store.address if saves else ""
@@ -70,23 +71,25 @@
     def fetch_bytes_per_s(
         self, request: intake.GatewayRequest, scope: str
     ) -> float:
-        """Returns how fast a prompt's shared parts come from a store.
+        """Returns the rate at which a prompt's shared parts can be fetched.
 
         Returns:
-            Bytes a second; 0 when no store is known to keep all of them.
+            Bytes a second; 0 if no store is known to hold all of them.
         """
-        store = self._store(affinity_key(request))
+        store = self._choose_store(affinity_key(request))
         if store is None:
             return 0.0
-        if self.watch.may_lack(store.address, _events(request, scope)):
+        if self.watch.may_lack(
+            store.address, _list_expected_events(request, scope)
+        ):
             return 0.0
         return store.link_bytes_per_s
 
-    def _store(self, key: bytes) -> objects.CacheStore | None:
-        """Returns the store of KV cache for a prefix, or None.
+    def _choose_store(self, key: bytes) -> objects.CacheStore | None:
+        """Returns the store for a prefix, or None if none can be reached.
 
-        All hosts choose alike, so that each prefix is kept once and all links
-        and memories are used.
+        All hosts choose the same store, so that each prefix is stored once and
+        the links and the memory of all stores are used.
         """
         if self.site.table is None:
             return None
@@ -105,9 +108,9 @@
         request: intake.GatewayRequest,
         token_bytes: float,
     ) -> bool:
-        """Returns whether the store's link has room for a prompt."""
+        """Returns whether the store's link has capacity to save a prompt."""
         if not (store.link_bytes_per_s and token_bytes):
-            return True  # nothing is known of the link
+            return True  # the link's capacity is not known
         budget = self.budgets.setdefault(
             store.address, save_budget.SaveBudget()
         )
@@ -122,14 +125,14 @@
 
 
 def shared_parts(request: intake.GatewayRequest) -> list[tuple[str, int]]:
-    """Returns digest and tokens of the parts that other prompts may share."""
+    """Returns digest and tokens of each part that other prompts may share."""
     return [(part.digest, part.tokens) for part in request.prompt.parts[:-1]]
 
 
-def _events(
+def _list_expected_events(
     request: intake.GatewayRequest, scope: str
 ) -> list[cache_contents.CacheEvent]:
-    """Returns the shared parts as a store of KV cache would tell of them."""
+    """Returns the events that a store would send for the shared parts."""
     return [
         cache_contents.CacheEvent(
             cache_contents.CachedPart(scope, digest), tokens
--- a/hillthread/coordination/gateway/serving/cache_watch.py
+++ b/hillthread/coordination/gateway/serving/cache_watch.py
@@ -1,7 +1,7 @@
 """Follows the events of the stores of KV cache, to save only what they lack.
 
-Every save also carries the part of the prompt that nobody shares; sent with
-each request, these push the shared parts out of the store.
+Every save also contains the last part of the prompt, which no other prompt
+shares. If each request were saved, these parts would evict the shared ones.
 """
 
 from __future__ import annotations
@@ -21,23 +21,24 @@
 
 __all__ = ["CacheWatch"]
 
-_WAIT_S = 1.0
-# Events of a busy store come at once: they are collected for so long, and
-# longer with many hosts, which together may have few calls at a store.
-_EVERY_S = 0.3
-_EVERY_HOST_S = 0.02
-_PAUSE_S = 0.5
-_CHECK_S = 0.5
+_POLL_TIMEOUT_S = 1.0
+# Minimum interval between reads, since a busy store has new events at any time.
+# It grows with the number of hosts, to limit the reads of all hosts together.
+_MIN_INTERVAL_S = 0.3
+_INTERVAL_PER_HOST_S = 0.02
+_RETRY_PAUSE_S = 0.5
+_STORE_LIST_INTERVAL_S = 0.5
 
 _logger = logging.getLogger("hillthread.cache")
 
 
 class CacheWatch:
-    """Knows what the stores of KV cache hold.
+    """Tracks the contents of the stores of KV cache.
 
     Attributes:
-        site: The host's beliefs: which stores there are.
-        contents: By the store's address.
+        site: The host's view of the configuration, which lists the stores.
+        pool: Connections to the stores.
+        contents: Contents of each store, by its address.
     """
 
     def __init__(self, site: site_lib.Site, pool: http1_client.ConnectionPool):
@@ -48,14 +49,14 @@
     def may_lack(
         self, address: str, parts: list[cache_contents.CacheEvent]
     ) -> bool:
-        """Returns whether a store may lack one of some parts."""
+        """Returns whether a store may lack any of some parts."""
         contents = self.contents.get(address)
         if contents is None or not contents.is_known:
             return True
         return not all(contents.holds(part, tokens) for part, tokens in parts)
 
     def is_reachable(self, address: str) -> bool:
-        """Returns whether a store is worth asking; true until it is known."""
+        """Returns whether a store answers; true if it was never read."""
         contents = self.contents.get(address)
         return contents is None or contents.is_answering
 
@@ -66,7 +67,7 @@
                 for address in self._addresses() - self.contents.keys():
                     self.contents[address] = cache_contents.CacheContents()
                     tasks.start_soon(self._follow, address)
-                await anyio.sleep(_CHECK_S)
+                await anyio.sleep(_STORE_LIST_INTERVAL_S)
 
     def _addresses(self) -> set[str]:
         table = self.site.table
@@ -80,28 +81,30 @@
             started = clock.now()
             try:
                 page = await cache_events.read_events(
-                    self.pool, address, contents.position, _WAIT_S
+                    self.pool, address, contents.position, _POLL_TIMEOUT_S
                 )
             except errors.LogError as error:
-                if self._take_failure(address, error):
-                    await anyio.sleep(_PAUSE_S * random.uniform(1.0, 2.0))
+                if self._handle_failure(address, error):
+                    await anyio.sleep(_RETRY_PAUSE_S * random.uniform(1.0, 2.0))
                 continue
             if not contents.is_answering:
                 self._log("cache_back", address, "answers again")
             if contents.epoch is not None and page.epoch != contents.epoch:
                 self._log("cache_lost", address, "restarted")
             contents.apply(page.epoch, page.position, page.events, page.lost)
-            passed = clock.now() - started
-            every_s = max(_EVERY_S, _EVERY_HOST_S * self.site.hosts)
-            await anyio.sleep(max(0.0, every_s - passed))
+            elapsed_s = clock.now() - started
+            interval_s = max(
+                _MIN_INTERVAL_S, _INTERVAL_PER_HOST_S * self.site.hosts
+            )
+            await anyio.sleep(max(0.0, interval_s - elapsed_s))
         del self.contents[address]
 
-    def _take_failure(self, address: str, error: errors.LogError) -> bool:
-        """Notes a failed read; returns whether to pause before the next one.
+    def _handle_failure(self, address: str, error: errors.LogError) -> bool:
+        """Records a failed read; returns whether to pause before the next.
 
-        One that was lost says little of the cache: its connection may have
-        died or fallen silent. The next one takes a new connection, and goes on
-        where the last answer ended.
+        A read without an answer says little about the store: its connection
+        may have died or fallen silent. The next read takes a new connection
+        and continues where the last answer ended.
         """
         contents = self.contents[address]
         was_reachable = contents.is_answering
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -1,4 +1,4 @@
-"""Takes in what attempts tell of their targets, and logs how they ended."""
+"""Records how attempts ended: state of targets, metrics and log lines."""
 
 from __future__ import annotations
 
@@ -23,25 +23,30 @@
 
 __all__ = ["FirstByteRecorder", "OutcomeRecorder"]
 
-# A target that refused work is spared this long.
-_SPARE_S = 0.15
-_MAX_REASON = 32
-# To the first byte of a prompt that is kept whole: one step of an engine and
-# both ways of the network.
-_LEAST_FIRST_BYTE_S = 0.02
-# Shorter prompts are read within that time, and tell little of the rate.
-_LEAST_READ_TOKENS = 1_000
-# Reports tell how a target stood some hundred ms before; twice that.
-_REPORT_LAG_S = 0.5
+# A target that refused a request gets no new ones for this time.
+_REFUSAL_PAUSE_S = 0.15
+_MAX_REASON_CHARS = 32
+# Time to the first byte of a prompt that is cached whole: one step of an engine
+# and the network's round trip.
+_MIN_FIRST_BYTE_S = 0.02
+# Shorter prompts are prefilled in that time and say little about the rate.
+_MIN_PREFILL_TOKENS = 1_000
+# Twice the age of reports, which show a target as it was some hundred ms ago.
+_REPORT_DELAY_S = 0.5
 
 _logger = logging.getLogger("hillthread.targets")
 
 
 class FirstByteRecorder:
-    """Notes the first byte of an attempt once.
+    """Records the first byte of an attempt, once.
 
     Attributes:
-        noted: Whether it was noted.
+        outcome_recorder: Provides the host's state and metrics.
+        request: The caller's request.
+        planned: The plan and the estimate of the attempt.
+        state: State of the target when the attempt began.
+        started: Seconds, when the attempt began.
+        is_recorded: Whether the first byte, or its absence, was recorded.
     """
 
     def __init__(
@@ -60,7 +65,7 @@
         self.is_recorded = False
 
     def record(self) -> None:
-        """Notes that the answer has begun; idempotent."""
+        """Records that the answer has begun; idempotent."""
         if self.is_recorded:
             return
         now = clock.now()
@@ -73,8 +78,8 @@
             fetch_s=round(estimate.fetch_s, 4),
             read_tokens=estimate.prefill_tokens,
         )
-        self._release(now, now - self.started)
-        self._learn_rate(now - self.started)
+        self._mark_recorded(now, now - self.started)
+        self._update_prefill_rate(now - self.started)
         self.outcome_recorder.metrics.observe_first_byte(
             self.request.tenant_name,
             self.request.route.name,
@@ -82,46 +87,46 @@
         )
 
     def record_none(self) -> None:
-        """Notes that the answer never begins, if it has not.
+        """Records that no answer has come, unless one has begun.
 
-        How long a refusal took tells nothing of how long an answer takes.
+        The duration of a refusal says nothing about the duration of an answer.
         """
         if not self.is_recorded:
-            self._release(clock.now(), None)
+            self._mark_recorded(clock.now(), None)
 
-    def _learn_rate(self, seconds: float) -> None:
-        """Learns how fast engines read, from a prompt with no queue ahead.
+    def _update_prefill_rate(self, seconds: float) -> None:
+        """Updates the engines' prefill rate after a prompt without a queue.
 
-        At a rate that is too high queues seem to be over too soon: with 50,000
+        If the rate is too high, queues seem to end too early: with 50,000
         tokens a second assumed, long prompts began 0.08 s later than expected
-        in the median, 0.33 s at the 95th of 100. Engines of a pool are alike:
-        what one shows is learned for all, since a host sees a prompt of some
-        length on each only now and then.
+        at the median and 0.33 s at the 95th percentile. The engines of a pool
+        are alike, so the rate is updated for all of them: a host seldom sends
+        a long prompt to each.
         """
         estimate = self.planned.estimate
         if estimate.queue_s > 0.0:
             return
-        if estimate.prefill_tokens < _LEAST_READ_TOKENS:
+        if estimate.prefill_tokens < _MIN_PREFILL_TOKENS:
             return
-        reading_s = seconds - estimate.fetch_s - _LEAST_FIRST_BYTE_S
+        prefill_s = seconds - estimate.fetch_s - _MIN_FIRST_BYTE_S
         site = self.outcome_recorder.site
         for member in site.targets.members(self.planned.pool):
             load = site.state(member.target.name).load
-            load.learn_prefill_rate(estimate.prefill_tokens, reading_s)
+            load.learn_prefill_rate(estimate.prefill_tokens, prefill_s)
 
-    def _release(self, now: float, seconds: float | None) -> None:
+    def _mark_recorded(self, now: float, seconds: float | None) -> None:
         self.is_recorded = True
         self.state.record_first_byte(now, self.planned.attempt_id, seconds)
 
 
 class OutcomeRecorder:
-    """Changes the host's beliefs after each attempt.
+    """Updates the state of targets after each attempt.
 
     Attributes:
-        site: The beliefs.
-        metrics: What is counted.
-        monitor: Told of targets that cannot be reached.
-        quarantine: Told of targets that have ended.
+        site: The host's view of the targets and their weights.
+        metrics: The host's metrics.
+        monitor: Notified of targets that cannot be reached.
+        quarantine: Notified of targets that are gone.
     """
 
     def __init__(
@@ -135,7 +140,7 @@
         self.metrics = metrics
         self.monitor = monitor
         self.quarantine = quarantine
-        self._asked: set[str] = set()
+        self._targets_being_read: set[str] = set()
 
     def record_outcome(
         self,
@@ -144,13 +149,13 @@
         result: outcome_lib.Outcome | None,
         started: float,
     ) -> None:
-        """Takes in how an attempt ended.
+        """Records how an attempt ended.
 
         Args:
             attempt: The attempt.
-            state: Of its target, from when it began: what an incarnation did
-                tells nothing of the one that has taken its name since.
-            result: How it ended; None when nobody waited for it any more.
+            state: State of its target when it began. A later incarnation of
+                the same name has a state of its own, which is not changed.
+            result: How it ended; None if the caller no longer waited for it.
             started: Seconds, when it began.
         """
         now = clock.now()
@@ -158,24 +163,24 @@
         self.metrics.attempts.labels(kind).inc()
         is_current = self.site.states.get(attempt.plan.target.name) is state
         if is_current:
-            self._learn_weights(attempt)
+            self._record_weights(attempt)
         log = attempt.request.log
-        fields = _log_fields(attempt, kind, now - started)
+        fields = _build_log_fields(attempt, kind, now - started)
         fields["beside"] = state.open_attempts - 1
         match result:
             case outcome_lib.Unsent(reason):
                 self.monitor.mark_unreachable(attempt.plan.target, reason)
                 log.warn("attempt", reason=reason, **fields)
             case outcome_lib.Lost(reason) | outcome_lib.Broken(reason):
-                # What was ended here tells nothing of the target.
+                # An attempt given up here says nothing about the target.
                 ejected = not attempt.give_up_reason and state.record_failure(
                     now
                 )
-                self.metrics.mismatches.labels(reason[:_MAX_REASON]).inc()
+                self.metrics.mismatches.labels(reason[:_MAX_REASON_CHARS]).inc()
                 log.warn("attempt", reason=reason, ejected=ejected, **fields)
             case outcome_lib.NotRun(status):
                 if is_current:
-                    self._learn_refusal(attempt.plan, state, result, now)
+                    self._record_refusal(attempt.plan, state, result, now)
                 log.warn("attempt", status=status, **fields)
             case outcome_lib.Whole(whole) if whole.head.status >= 500:
                 state.record_failure(now)
@@ -186,30 +191,30 @@
             case None:
                 log.warn("attempt", **fields)
 
-    def _learn_weights(self, attempt: attempt_lib.Attempt) -> None:
-        """Takes in the weights that an answer or its events told."""
+    def _record_weights(self, attempt: attempt_lib.Attempt) -> None:
+        """Records the weights versions that an answer or its events named."""
         plan = attempt.plan
-        told = [attempt.relay.take_weights_version()]
+        versions = [attempt.relay.take_weights_version()]
         if attempt.meaning is not None:
-            told.append(attempt.meaning.weights_version)
-        for version in told:
+            versions.append(attempt.meaning.weights_version)
+        for version in versions:
             if version is not None and plan.model:
                 self.site.observe_weights(plan.target.name, plan.model, version)
 
-    def _learn_refusal(
+    def _record_refusal(
         self,
         plan: attempt_plan.AttemptPlan,
         state: target_state.TargetState,
         refusal: outcome_lib.NotRun,
         now: float,
     ) -> None:
-        """Takes in why a target did not run a request."""
+        """Records why a target did not run a request."""
         name = plan.target.name
         if refusal.status != 421:
-            state.record_refusal(now + _SPARE_S)
+            state.record_refusal(now + _REFUSAL_PAUSE_S)
             return
         if refusal.meaning.incarnation not in ("", name):
-            # Another target has the address: this one is gone.
+            # Another target has the address, so this one is gone.
             state.record_unreachable(now)
             self.quarantine.record_target_end(name, "another has its address")
             return
@@ -219,25 +224,25 @@
         is_guess = board.reject_version(name, plan.model, plan.weights_version)
         if is_guess and board.is_behind(name, plan.model):
             self.monitor.tasks.start_soon(
-                self._ask_weights, plan.target, plan.model
+                self._fetch_weights, plan.target, plan.model
             )
 
-    async def _ask_weights(self, target: objects.Target, model: str) -> None:
-        """Asks a target which weights it holds, after a guess.
+    async def _fetch_weights(self, target: objects.Target, model: str) -> None:
+        """Reads from a target's report which weights it holds.
 
-        Nobody else would tell a host that guessed weights which are too old:
-        it sends no requests there. Reports lag some hundred ms.
+        A host that wrongly assumes old weights sends the target no requests,
+        so that no answer would correct it. Reports lag by some hundred ms.
         """
-        if target.name in self._asked:
+        if target.name in self._targets_being_read:
             return
-        self._asked.add(target.name)
+        self._targets_being_read.add(target.name)
         try:
-            await anyio.sleep(_REPORT_LAG_S)
+            await anyio.sleep(_REPORT_DELAY_S)
             report = await orders.read_report(self.monitor.pool, target)
         except errors.ConfigurationError as error:
             report = None
             _logger.warning(
-                "report not readable",
+                "target report is unreadable",
                 extra={
                     "event": "bad_report",
                     "target": target.name,
@@ -245,15 +250,15 @@
                 },
             )
         finally:
-            self._asked.discard(target.name)
+            self._targets_being_read.discard(target.name)
         if report is not None:
             self.site.take_report(target.name, model, report)
 
 
-def _log_fields(
+def _build_log_fields(
     attempt: attempt_lib.Attempt, kind: str, seconds: float
 ) -> dict[str, object]:
-    """Returns what every line on the end of an attempt says."""
+    """Returns the log fields of an attempt that has ended."""
     fields: dict[str, object] = {
         "target": attempt.plan.target.name,
         "outcome": kind,
--- a/hillthread/coordination/gateway/serving/reach_monitor.py
+++ b/hillthread/coordination/gateway/serving/reach_monitor.py
@@ -4,13 +4,14 @@
 until the kernel gives up. After some silence a new connection to the target is
 opened. If it fails, the target gets no new requests until one succeeds,
 attempts that can be retried are given up, and other targets are probed too,
-because cuts seldom come alone.
+because a cut link often affects several targets.
 
 Connections also fail when this host's own link is full. Attempts are given up
-only while another target can be reached, which shows that the link is not.
+only if another target can be reached, which rules that out.
 
-An established connection may fall silent for good. Unlike with a slow target,
-the request then stays unacknowledged although a new connection succeeds.
+An established connection may fall silent for good. Its requests then stay
+unacknowledged although a new connection to the target succeeds; with a target
+that is only slow, they are acknowledged.
 """
 
 from __future__ import annotations
@@ -38,18 +39,18 @@
 # A working path acknowledges within its round trip, and a lost packet after its
 # retransmission.
 _UNACKNOWLEDGED_S = 0.25
-# A connection that is younger counts as a probe.
-_FRESH_S = 1.0
+# A connection younger than this shows that the target can be reached.
+_FRESH_CONNECTION_S = 1.0
 # Interval of probes for the same attempts.
 _PROBE_INTERVAL_S = 1.5
 # Intervals of probes of an unreachable target: the first, and the longest.
-_RETRY_S = 0.4
+_FIRST_RETRY_S = 0.4
 _MAX_RETRY_S = 1.6
-# Other targets probed after one could not be reached, and the least interval.
-_SWEEP_TARGETS = 10
+# Other targets probed after one could not be reached, and the minimum interval.
+_SWEEP_PROBES = 10
 _SWEEP_INTERVAL_S = 2.0
-# Others probed between two sweeps, to find one that can be reached.
-_PROOF_TARGETS = 3
+# Other targets probed between two sweeps, to find one that can be reached.
+_EXTRA_PROBES = 3
 
 _logger = logging.getLogger("hillthread.reach")
 
@@ -66,18 +67,19 @@
         """Returns whether nothing shows that the request has arrived."""
 
     def give_up(self, reason: str) -> bool:
-        """Ends the attempt as lost if another can follow; returns whether."""
+        """Ends the attempt as lost if it can be retried; returns whether."""
 
 
 class ReachabilityMonitor:
     """Watches open attempts and targets that cannot be reached.
 
     Attributes:
-        site: The host's beliefs.
-        pool: Connections to targets; those of probes are kept there.
-        attempts: All that wait.
-        reached: Called with the name of a target that a probe reached.
-        refused: Called with the name of one where nobody listens any more.
+        site: The host's view of the targets.
+        pool: Connections to targets; it keeps those that probes open.
+        tasks: Runs the probes.
+        attempts: Attempts that wait for their targets.
+        on_reached: Called with the name of a target that a probe reached.
+        on_refused: Called with the name of a target that refused a connection.
     """
 
     def __init__(
@@ -95,10 +97,10 @@
         self._probing: set[str] = set()
         self._probed_at: dict[str, float] = {}
         self._retry_at: dict[str, float] = {}
-        self._pause_s: dict[str, float] = {}
+        self._retry_pause_s: dict[str, float] = {}
         self._swept_at = float("-inf")
         self._reached_at = float("-inf")
-        self._suspects: dict[str, objects.Target] = {}
+        self._unproven: dict[str, objects.Target] = {}
 
     async def run(self) -> None:
         """Watches until cancelled."""
@@ -115,8 +117,10 @@
         if state.is_unreachable:
             return
         state.is_unreachable = True
-        self._pause_s[target.name] = _RETRY_S
-        self._retry_at[target.name] = 0.0  # at once: a packet may be lost
+        self._retry_pause_s[target.name] = _FIRST_RETRY_S
+        self._retry_at[target.name] = (
+            0.0  # at once: a packet may have been lost
+        )
         _logger.warning(
             "target cannot be reached",
             extra={
@@ -128,7 +132,7 @@
         )
 
     def probe_now(self, target: objects.Target) -> None:
-        """Probes a target now: a connection to it was cut."""
+        """Probes a target now, because a connection to it was cut."""
         self._start_probe(target, clock.now())
 
     def _check_attempts(self, now: float) -> None:
@@ -144,14 +148,14 @@
                 continue
             if quiet_s < _PROBE_AFTER_S or probed_s < _PROBE_INTERVAL_S:
                 continue
-            if now - attempt.connected_at >= _FRESH_S:
+            if now - attempt.connected_at >= _FRESH_CONNECTION_S:
                 self._start_probe(attempt.target, now)
 
     def _probe_unreachable(self, now: float) -> None:
         for name in list(self._retry_at):
             entry = self.site.targets.entries.get(name)
             if entry is None:
-                self._forget(name)
+                self._forget_target(name)
             elif now >= self._retry_at[name]:
                 self._start_probe(entry.target, now)
 
@@ -167,23 +171,23 @@
         try:
             connection = await self.pool.open(target.address, "trial")
         except http1_client.CallError as error:
-            self._failed(target, error, began_at)
+            self._handle_failure(target, error, began_at)
             return
         finally:
             self._probing.discard(target.name)
         self._note_reached(target)
         self.on_reached(target.name)
-        self._find_silent(target)
+        self._give_up_silent(target)
         await self.pool.give_back(connection)
         if target.name in self._retry_at:
-            self._forget(target.name)
+            self._forget_target(target.name)
             self.site.state(target.name).is_unreachable = False
             _logger.info(
                 "target can be reached",
                 extra={"event": "target_reachable", "target": target.name},
             )
 
-    def _find_silent(self, target: objects.Target) -> None:
+    def _give_up_silent(self, target: objects.Target) -> None:
         """Gives up attempts on silent connections while a new one works."""
         now = clock.now()
         for attempt in list(self.attempts):
@@ -207,14 +211,14 @@
             )
 
     def _note_reached(self, target: objects.Target) -> None:
-        """Notes that this host reaches a target; probes the suspects again."""
+        """Records that a target was reached; repeats the unproven probes."""
         now = clock.now()
         self._reached_at = now
-        self._suspects.pop(target.name, None)
-        for suspect in self._suspects.values():
-            self._start_probe(suspect, now)
+        self._unproven.pop(target.name, None)
+        for unproven in self._unproven.values():
+            self._start_probe(unproven, now)
 
-    def _failed(
+    def _handle_failure(
         self,
         target: objects.Target,
         error: http1_client.CallError,
@@ -224,34 +228,34 @@
         if error.refused:
             self.on_refused(target.name)
         self.mark_unreachable(target, error.reason)
-        pause_s = self._pause_s.get(target.name, _RETRY_S)
+        pause_s = self._retry_pause_s.get(target.name, _FIRST_RETRY_S)
         self._retry_at[target.name] = now + pause_s * random.uniform(0.8, 1.2)
-        self._pause_s[target.name] = min(_MAX_RETRY_S, pause_s * 1.5)
-        if error.unheard and not self._reached_another(began_at):
-            self._suspects[target.name] = target
-            self._sweep(now, _PROOF_TARGETS)
+        self._retry_pause_s[target.name] = min(_MAX_RETRY_S, pause_s * 1.5)
+        if error.unheard and not self._has_reached_another(began_at):
+            self._unproven[target.name] = target
+            self._sweep(now, _EXTRA_PROBES)
             return
-        self._suspects.pop(target.name, None)
+        self._unproven.pop(target.name, None)
         for attempt in list(self.attempts):
             if attempt.target.name == target.name:
                 attempt.give_up("target cannot be reached")
         self._sweep(now)
 
-    def _reached_another(self, began_at: float) -> bool:
-        """Returns whether a target was reached at about the time of a probe."""
+    def _has_reached_another(self, began_at: float) -> bool:
+        """Returns whether a target was reached around the time of a probe."""
         return self._reached_at >= began_at - self.pool.connect_timeout_s
 
     def _sweep(self, now: float, at_least: int = 0) -> None:
-        """Probes other targets: a link or a data centre may be cut.
+        """Probes other targets, since a link or a data centre may be cut.
 
         Args:
             now: Seconds.
-            at_least: How many are probed although a sweep is not due.
+            at_least: Number of targets to probe if no sweep is due.
         """
         count = at_least
         if now - self._swept_at >= _SWEEP_INTERVAL_S:
             self._swept_at = now
-            count = _SWEEP_TARGETS
+            count = _SWEEP_PROBES
         others = [
             entry.target
             for name, entry in self.site.targets.entries.items()
@@ -260,13 +264,13 @@
         for target in random.sample(others, min(count, len(others))):
             self._start_probe(target, now)
 
-    def _forget(self, name: str) -> None:
+    def _forget_target(self, name: str) -> None:
         self._retry_at.pop(name, None)
-        self._pause_s.pop(name, None)
+        self._retry_pause_s.pop(name, None)
         self._probed_at.pop(name, None)
-        self._suspects.pop(name, None)
+        self._unproven.pop(name, None)
 
 
 def _ignore(target: str) -> None:
-    """Default of `reached` and `refused`."""
+    """Does nothing; the default of `on_reached` and `on_refused`."""
     del target
--- a/hillthread/coordination/gateway/serving/story.py
+++ b/hillthread/coordination/gateway/serving/story.py
@@ -1,8 +1,8 @@
-"""The decisions on one request, as log lines.
+"""Logs the decisions on each request.
 
-Each decision is noted when it is made. The lines of a request that goes as
-planned are held and only a sample of them is written; as soon as something
-else happens they are written, with all that follow.
+The log lines of a request are buffered. If it goes as planned they are written
+only if the request is sampled; as soon as something unexpected happens, they
+are written at once, like all that follow.
 """
 
 from __future__ import annotations
@@ -17,76 +17,76 @@
 
 _logger = logging.getLogger("hillthread.request")
 
-# So many hosts log their full sample.
-_SAMPLING_HOSTS = 24
+# Number of hosts up to which each host logs its full sample.
+_FULL_SAMPLE_HOSTS = 24
 
 
 class RequestSampler:
-    """Says which ordinary requests are logged: some a second, and no more.
+    """Limits how many ordinary requests are logged in a second.
 
-    Many hosts share what some hosts would log: a sample tells no more of a site
-    the larger it is, and each request logged takes 1.4 ms under a
-    profiler.
+    On large sites each host logs fewer, so that the sample of all hosts stops
+    growing: a larger one says no more about the site, and logging a request
+    takes 1.4 ms under a profiler.
 
     Attributes:
-        per_s: Requests logged in a second, where hosts are few.
-        hosts: Of the site.
+        per_s: Requests that a host of a small site logs in a second.
+        hosts: Number of hosts of the site.
     """
 
     def __init__(self, per_s: int):
         self.per_s = per_s
         self.hosts = 1
         self._period = 0
-        self._taken = 0
+        self._count = 0
 
     def should_log(self) -> bool:
-        """Returns whether to log the ordinary request that ended now."""
-        length_s = max(1.0, self.hosts / _SAMPLING_HOSTS)
+        """Counts an ordinary request that ended; returns whether to log it."""
+        length_s = max(1.0, self.hosts / _FULL_SAMPLE_HOSTS)
         period = int(clock.now() / length_s)
         if period != self._period:
             self._period = period
-            self._taken = 0
-        self._taken += 1
-        return self._taken <= self.per_s
+            self._count = 0
+        self._count += 1
+        return self._count <= self.per_s
 
 
 class RequestLog:
-    """What happened to one request.
+    """The log lines of one request.
 
     Attributes:
-        request_id: As the caller sent it.
-        gate: Samples ordinary requests.
-        unusual: Whether every line is written.
+        request_id: The ID that the caller sent.
+        sampler: Chooses the ordinary requests that are logged.
+        is_unusual: Whether something unexpected has happened.
     """
 
     def __init__(self, request_id: str, sampler: RequestSampler):
         self.request_id = request_id
         self.sampler = sampler
         self.is_unusual = False
-        self._held: list[dict[str, Any]] = []
+        self._buffered: list[dict[str, Any]] = []
 
     def note(self, event: str, **fields: Any) -> None:
-        """Notes a decision that goes as planned."""
+        """Logs a decision that goes as planned."""
         fields["at"] = round(time.time(), 4)
         fields["event"] = event
         fields["request"] = self.request_id
         if self.is_unusual:
             _logger.info(event, extra=fields)
             return
-        self._held.append(fields)
+        self._buffered.append(fields)
 
     def warn(self, event: str, **fields: Any) -> None:
-        """Notes what was not planned, and writes all lines held."""
+        """Logs something unexpected, and writes all buffered lines."""
         self.is_unusual = True
-        self._write_held()
+        self._flush()
         self.note(event, **fields)
 
     def close(self) -> None:
-        """Ends the story: an ordinary one is written if sampled."""
-        if self._held and self.sampler.should_log():
-            self._write_held()
+        """Ends the log; writes the lines of an ordinary request if sampled."""
+        if self._buffered and self.sampler.should_log():
+            self._flush()
 
-    def _write_held(self) -> None:
-        for fields in self._held:
+    def _flush(self) -> None:
+        for fields in self._buffered:
             _logger.info(fields["event"], extra=fields)
-        self._held = []
+        self._buffered = []
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -1,4 +1,4 @@
-"""Tests of targets that cannot be reached, and of caches that are watched."""
+"""Tests targets that cannot be reached, and the choice of cache stores."""
 
 import collections
 import contextlib
@@ -20,7 +20,7 @@
 
 @contextlib.contextmanager
 def closed_port():
-    """Yields a port on which nobody listens, nor can any other process."""
+    """Yields a port on which no process listens or can begin to listen."""
     with socket.socket() as held:
         held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         held.bind(("127.0.0.1", 0))
@@ -28,23 +28,25 @@
 
 
 @contextlib.contextmanager
-def unheard_trials(*addresses):
-    """Has trials time out: those of some addresses, or all."""
+def timed_out_probes(*addresses):
+    """Has the probes of some addresses, or of all, time out."""
     open_connection = http1_client.ConnectionPool.open
 
-    async def opened(pool, address, reason):
+    async def open_or_time_out(pool, address, reason):
         if reason == "trial" and address in (addresses or (address,)):
             await anyio.sleep(pool.connect_timeout_s)
             raise http1_client.CallError(False, "a test", unheard=True)
         return await open_connection(pool, address, reason)
 
-    with mock.patch.object(http1_client.ConnectionPool, "open", opened):
+    with mock.patch.object(
+        http1_client.ConnectionPool, "open", open_or_time_out
+    ):
         yield
 
 
 class ReachTest(unittest.TestCase):
     def test_target_comes_back_when_it_can_be_reached_again(self):
-        async def story(scene):
+        async def scenario(scene):
             target = scene.plain[0]
             address = ("127.0.0.1", ports.enter_context(closed_port()))
             entry = {**target.entry(), "address": f"127.0.0.1:{address[1]}"}
@@ -68,10 +70,10 @@
             self.assertEqual(answer.head.status, 200)
 
         with contextlib.ExitStack() as ports:
-            scene_lib.play(story, plain=1)
+            scene_lib.play(scenario, plain=1)
 
-    def test_attempt_on_a_target_that_fell_silent_goes_elsewhere(self):
-        async def story(scene):
+    def test_attempt_on_a_silent_target_is_retried_elsewhere(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.behave(standin.Hang())
             request = scene.request("/again/x")
@@ -90,23 +92,23 @@
             self.assertEqual(answers[0].head.status, 200)
             self.assertIn(other.name.encode(), answers[0].body)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_host_that_reaches_nobody_gives_no_attempt_up(self):
-        async def story(scene):
+    def test_isolated_host_gives_up_no_attempt(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.always = standin.Serve(1.9)
             scene.site.budget("plain").extra = 50.0
             request = scene.request("/again/x", x_deadline_ms="2900")
-            with unheard_trials():
+            with timed_out_probes():
                 answer = await scene.call(request)
             self.assertEqual(answer.head.status, 200)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_target_that_alone_is_not_reached_is_given_up(self):
-        async def story(scene):
+    def test_attempt_on_the_only_unreachable_target_is_given_up(self):
+        async def scenario(scene):
             request = scene.request("/again/x")
             for target in scene.plain:
                 target.behave(standin.Hang())
@@ -121,14 +123,14 @@
             silent = next(t for t in scene.plain if t.runs)
             other = next(t for t in scene.plain if t is not silent)
             other.behaviours.clear()
-            with unheard_trials(silent.address):
+            with timed_out_probes(silent.address):
                 await scene.until(lambda: answers)
             self.assertEqual(answers[0].head.status, 200)
             self.assertIn(other.name.encode(), answers[0].body)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
-    def test_giving_up_never_cuts_what_is_being_written_to_the_caller(self):
+    def test_giving_up_does_not_cut_a_write_to_the_caller(self):
         async def slow_send(connection, events):
             """Sends with a pause between framing and writing."""
             data = b"".join(connection.machine.send(e) or b"" for e in events)
@@ -136,7 +138,7 @@
                 await anyio.sleep(0.1)
             await connection.stream.send(data)
 
-        async def story(scene):
+        async def scenario(scene):
             answers = []
 
             async def call():
@@ -155,12 +157,12 @@
             self.assertEqual(answers[0].body, whole)
 
         with mock.patch.object(http1.Http1Connection, "send", slow_send):
-            scene_lib.play(story)
+            scene_lib.play(scenario)
 
-    def test_nothing_is_given_up_that_the_budget_could_not_repeat(self):
-        """Silence is no reason to end an answer that cannot go on."""
+    def test_attempt_without_retry_budget_is_not_given_up(self):
+        """A silent attempt that cannot be retried may still be answered."""
 
-        async def story(scene):
+        async def scenario(scene):
             released = anyio.Event()
             for engine in scene.engines:
                 engine.always = standin.Held(released)
@@ -192,24 +194,24 @@
             self.assertEqual(answers[0].body, whole)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(story, retry_extra=0, retry_ratio=0)
+        scene_lib.play(scenario, retry_extra=0, retry_ratio=0)
 
-    def test_connection_that_has_just_come_up_is_not_tried_again(self):
-        async def story(scene):
+    def test_new_connection_is_not_probed(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.always = standin.Serve(0.8)
             pool = scene.program.pool
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 200)
             self.assertEqual(pool.opened["trial"], 0)
-            # The same over the kept connection: it may have died meanwhile.
+            # A reused connection is probed: it may have died meanwhile.
             await scene.call(scene.request("/again/x"))
             self.assertEqual(pool.opened["trial"], 1)
 
-        scene_lib.play(story, plain=1)
+        scene_lib.play(scenario, plain=1)
 
-    def test_request_that_may_not_be_repeated_is_left_alone(self):
-        async def story(scene):
+    def test_unrepeatable_request_is_not_given_up(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.always = standin.Serve(1.2)
             answers = []
@@ -225,11 +227,11 @@
             self.assertEqual(answers[0].head.status, 200)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(story)
+        scene_lib.play(scenario)
 
 
-def sources(scene):
-    """Returns where engines were told to fetch from, request by request."""
+def list_fetch_sources(scene):
+    """Returns the store that each request told its engine to fetch from."""
     return [
         run.request.get(b"x-kv-fetch").decode()
         for engine in scene.engines
@@ -239,51 +241,51 @@
 
 class CacheTest(unittest.TestCase):
     def test_prefixes_are_spread_over_all_stores(self):
-        async def story(scene):
+        async def scenario(scene):
             stores = await scene_lib.keep_caches(scene, 3)
             for number in range(24):
                 parts = f"aa:300,{number:x}b:500,cc:100"
                 await scene.call(
                     scene.prompt("/stream/x", x_prompt_prefix=parts)
                 )
-            counts = collections.Counter(sources(scene))
+            counts = collections.Counter(list_fetch_sources(scene))
             self.assertEqual(set(counts), {s.address for s in stores})
             await scene.call(scene.prompt("/stream/x"))
             await scene.call(scene.prompt("/stream/x"))
-            self.assertEqual(*sources(scene)[-2:])
+            self.assertEqual(*list_fetch_sources(scene)[-2:])
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_store_that_cannot_be_reached_is_passed_over(self):
-        """Engines would wait for it, each request anew."""
+    def test_unreachable_store_is_not_used(self):
+        """Engines would wait for it with each request."""
 
-        async def story(scene):
+        async def scenario(scene):
             stores = await scene_lib.keep_caches(scene, 2)
             gone, other = stores
             scene.stop_listening(gone)
-            caches = (
+            cache_watch = (
                 scene.program.gateway.dispatcher.chooser.cache_planner.watch
             )
             await scene.until(
-                lambda: not caches.contents[gone.address].is_answering
+                lambda: not cache_watch.contents[gone.address].is_answering
             )
             for number in range(12):
                 parts = f"aa:300,{number:x}b:500,cc:100"
                 await scene.call(
                     scene.prompt("/stream/x", x_prompt_prefix=parts)
                 )
-            self.assertEqual(set(sources(scene)), {other.address})
+            self.assertEqual(set(list_fetch_sources(scene)), {other.address})
             scene.stop_listening(other)
             await scene.until(
-                lambda: not caches.contents[other.address].is_answering
+                lambda: not cache_watch.contents[other.address].is_answering
             )
             await scene.call(scene.prompt("/stream/x"))
-            self.assertEqual(sources(scene)[-1], "")
+            self.assertEqual(list_fetch_sources(scene)[-1], "")
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
-    def test_only_what_the_store_lacks_is_saved(self):
-        async def story(scene):
+    def test_prefix_is_saved_only_if_the_store_lacks_it(self):
+        async def scenario(scene):
             (store,) = await scene_lib.keep_caches(scene, 1)
             address = store.address.encode()
             await scene.call(scene.prompt("/stream/x"))
@@ -295,11 +297,11 @@
                 (0, "+", salt, "aa", 288, "m"),
                 (1, "+", salt, "bb", 496, "m"),
             ]
-            caches = (
+            cache_watch = (
                 scene.program.gateway.dispatcher.chooser.cache_planner.watch
             )
             await scene.until(
-                lambda: len(caches.contents.get(store.address, ())) == 2
+                lambda: len(cache_watch.contents.get(store.address, ())) == 2
             )
             await scene.call(scene.prompt("/stream/x"))
             run = [r for e in scene.engines for r in e.runs][-1]
@@ -307,17 +309,17 @@
             self.assertEqual(run.request.get(b"x-kv-fetch"), address)
             store.cache_epoch = 2
             store.cache_events = []
-            await scene.until(lambda: not caches.contents[store.address])
+            await scene.until(lambda: not cache_watch.contents[store.address])
             await scene.call(scene.prompt("/stream/x"))
             run = [r for e in scene.engines for r in e.runs][-1]
             self.assertEqual(run.request.get(b"x-kv-save"), address)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
 
 
 class WeightsMismatchTest(unittest.TestCase):
-    def test_wrong_belief_of_weights_costs_one_send(self):
-        async def story(scene):
+    def test_wrong_weights_version_is_corrected_by_a_retry(self):
+        async def scenario(scene):
             engine = scene.engines[0]
             engine.weights = 2
             scene.site.weights.record_announcement("m", 2, anyio.current_time())
@@ -325,4 +327,4 @@
             self.assertEqual(answer.head.status, 200)
             self.assertEqual(scene.site.weights.held_version("e0", "m"), 2)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.play(scenario, engines=1)
--- a/tests/coordination/gateway/serving/test_story.py
+++ b/tests/coordination/gateway/serving/test_story.py
@@ -1,4 +1,4 @@
-"""Tests of which ordinary requests are logged."""
+"""Tests the sampling of ordinary requests for the log."""
 
 import unittest
 from unittest import mock
@@ -14,12 +14,12 @@
 
 
 class RequestSamplerTest(unittest.TestCase):
-    def test_few_hosts_log_so_many_a_second(self):
+    def test_small_site_logs_full_sample_at_each_host(self):
         sampler = story.RequestSampler(2)
         sampler.hosts = 8
         self.assertEqual(count_logged(sampler, 16, 10), 32)
 
-    def test_many_hosts_share_what_some_would_log(self):
+    def test_large_site_logs_no_larger_sample(self):
         sampler = story.RequestSampler(2)
         sampler.hosts = 192
         self.assertEqual(count_logged(sampler, 16, 10), 4)
