--- a/hillthread/coordination/gateway/serving/cache_source.py
+++ b/hillthread/coordination/gateway/serving/cache_source.py
@@ -1,4 +1,4 @@
-"""Chooses the store from which an attempt fetches KV cache, and saves to it.
+"""Chooses the store that an attempt fetches KV cache from and saves it to.
 
 Every attempt may fetch from the store, even if the store's events do not list
 the prefix yet, because events lag behind the contents. An engine that probably
--- a/hillthread/coordination/gateway/serving/cache_watch.py
+++ b/hillthread/coordination/gateway/serving/cache_watch.py
@@ -22,8 +22,9 @@
 __all__ = ["CacheWatch"]
 
 _POLL_TIMEOUT_S = 1.0
-# Minimum interval between reads, since a busy store has new events at any time.
-# It grows with the number of hosts, to limit the reads of all hosts together.
+# Minimum interval between reads. A busy store would answer each at once; in the
+# interval its events accumulate. It grows with the number of hosts, because a
+# store can serve only few reads from all of them together.
 _MIN_INTERVAL_S = 0.3
 _INTERVAL_PER_HOST_S = 0.02
 _RETRY_PAUSE_S = 0.5
--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -205,7 +205,7 @@
 def make_not_ready_error(
     message: str, retry_after_s: float
 ) -> errors.RefusalError:
-    """Returns the refusal of a host that is starting or stopping."""
+    """Returns the refusal of a host that cannot serve at the moment."""
     return errors.RefusalError(
         NOT_READY,
         503,
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -347,7 +347,8 @@
     async def _write_record(self, digest: str, value: bytes) -> None:
         """Writes a record, or removes it if the value is empty.
 
-        A failed write is only logged, since all hosts are notified as well.
+        The write is given up after some attempts, since the hosts that hold
+        the request know of it anyway.
         """
         key = host_registry.QUARANTINE_PREFIX + digest
         for _ in range(_STORE_ATTEMPTS):
--- a/hillthread/coordination/gateway/serving/reach_monitor.py
+++ b/hillthread/coordination/gateway/serving/reach_monitor.py
@@ -105,8 +105,8 @@
     async def run(self) -> None:
         """Watches until cancelled."""
         while True:
-            busy = self.attempts or self._retry_at
-            await anyio.sleep(_TICK_S if busy else _IDLE_TICK_S)
+            is_busy = self.attempts or self._retry_at
+            await anyio.sleep(_TICK_S if is_busy else _IDLE_TICK_S)
             now = clock.now()
             self._check_attempts(now)
             self._probe_unreachable(now)
@@ -118,9 +118,8 @@
             return
         state.is_unreachable = True
         self._retry_pause_s[target.name] = _FIRST_RETRY_S
-        self._retry_at[target.name] = (
-            0.0  # at once: a packet may have been lost
-        )
+        # The first probe is due at once, since a packet may have been lost.
+        self._retry_at[target.name] = 0.0
         _logger.warning(
             "target cannot be reached",
             extra={
--- a/tests/coordination/gateway/serving/test_deadly_requests.py
+++ b/tests/coordination/gateway/serving/test_deadly_requests.py
@@ -4,9 +4,9 @@
 the balancer chooses. Guards against hosts that count its attempts by request
 ID, each on its own: every retry is a new request to them and crashes the next
 engine. After three crashes one request was sent to engines 11 more times. 22
-engines crashed in all, and of the prompts sent within 7 s of that, 4 of 139
-were answered in time. The engines were not overloaded: the first ones had 3 to
-5 open requests and empty queues.
+engines crashed in all, with everything that ran on them; in 7 s of this time,
+4 of 139 prompts were answered in time. The engines were not overloaded: the
+first ones had 3 to 5 open requests and empty queues.
 """
 
 import contextlib
@@ -231,7 +231,7 @@
         scene_lib.play(scenario, engines=5, before=make_targets_crash)
 
     def test_request_alone_on_three_crashed_engines_is_served_soon(self):
-        """Guards against a long hold while no other request can be the cause.
+        """Guards against a long hold because no other request can be the cause.
 
         The engines crash for other causes while nothing runs beside the
         request. When three crashes had it held for 30 s, it was served 6 times
--- a/tests/coordination/gateway/serving/test_quota.py
+++ b/tests/coordination/gateway/serving/test_quota.py
@@ -103,7 +103,7 @@
             callers.start_soon(send, number)
 
 
-def has_quota_left(program):
+def has_quota_remaining(program):
     """Returns whether the first quota admits another request."""
     statuses = program.quotas.statuses()
     return bool(statuses) and statuses[0].left > TOKENS
@@ -186,7 +186,7 @@
         async def scenario(scene):
             scene.configure(tenants=tenants())
             program = scene.program
-            await scene.until(lambda: has_quota_left(program))
+            await scene.until(lambda: has_quota_remaining(program))
             for engine in scene.engines:
                 engine.always = platform_target.Refuse()
             answer = await scene.call(scene.prompt("/stream/x"))
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -1,4 +1,4 @@
-"""Tests targets that cannot be reached, and the choice of cache stores."""
+"""Tests unreachable targets, cache stores, and a wrong weights version."""
 
 import collections
 import contextlib
--- a/tests/coordination/gateway/serving/test_target_announcements.py
+++ b/tests/coordination/gateway/serving/test_target_announcements.py
@@ -15,7 +15,7 @@
 
 CALLERS = 4
 PAUSE_S = 0.04
-# After this time a target counts the requests that it gets in its back-off.
+# Time after its refusal from which a target counts requests in its back-off.
 BACKOFF_DELAY_S = 0.5
 MAX_ARRIVALS_IN_BACKOFF = 2
 
