--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a request sent to one target, and its answer checked."""
+"""Sends a request to one target once, and checks and relays the answer."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 
 __all__ = ["Attempt", "Callbacks"]
 
-# Answers up to this size are checked whole before any of it is relayed.
-_WHOLE_BYTES = 262_144
+# Answers up to this size are buffered until complete; longer ones are relayed
+# as they arrive.
+_MAX_BUFFERED_BYTES = 262_144
 
 
 class Callbacks(NamedTuple):
-    """What an attempt asks and tells whoever makes it.
+    """Callbacks from an attempt to the sender that makes it.
 
     Attributes:
-        note_head: Told what the head of the answer said, if it is one to this
-            request.
-        claim_retry: Charges the retry budget for an attempt after this one;
+        note_head: Called with the decoded head of the answer, if it answers
+            this request.
+        reserve_retry: Charges the retry budget for an attempt after this one;
             returns whether there may be one.
     """
 
@@ -43,24 +44,27 @@
 
     Attributes:
         pool: Connections to targets.
-        tasks: Where long bodies are sent.
-        monitor: Ends the attempt when its target cannot be reached.
+        tasks: Task group that sends long bodies.
+        monitor: Gives up the attempt if its target cannot be reached.
         request: The caller's request.
-        plan: What is asked of the target.
-        relay: Where events go.
-        most_idle: Connections to the target that this host keeps.
-        meaning: What the head of the answer said; None before it came.
-        reused: Whether it went over a kept connection.
-        sent: Whether any of it may have reached the target.
-        target: Where it goes.
-        callbacks: What it asks and tells whoever makes it.
-        heard_at: Seconds, when the target last sent anything of its answer.
-        connected_at: Seconds, when its connection came up.
-        connection: To the target, once there is one.
-        given_up: Why it was ended here, or nothing: its target cannot be
-            reached, its connection is silent, or its weights became too old.
-        found_silent: Whether the monitor found its connection silent.
-        cut: Whether the target's side ended its connection before its answer.
+        plan: Which target gets the request, and with which parameters.
+        relay: Relays the events of the answer to the caller.
+        max_idle: Maximum idle connections to the target that this host keeps.
+        meaning: The decoded head of the answer; None before it arrives.
+        reused: Whether the request was sent over a reused connection.
+        sent: Whether any part of it may have reached the target.
+        target: The target of the plan.
+        callbacks: Callbacks to the sender.
+        last_received_at: Clock time in seconds when the target last sent any
+            part of its answer, initially when the request was sent.
+        connected_at: Clock time in seconds when the connection was opened.
+        connection: The connection to the target; None before there is one.
+        give_up_reason: Why this host ended the attempt; empty if it did not.
+            The target cannot be reached, its connection is silent, or its
+            weights became too old.
+        found_silent: Whether the monitor found the connection silent.
+        closed_by_target: Whether the connection ended before the answer did,
+            and not by this host.
     """
 
     def __init__(
@@ -94,7 +98,7 @@
         self.closed_by_target = False
 
     async def run(self) -> outcome_lib.Outcome:
-        """Returns how it ended."""
+        """Sends the request and returns the outcome."""
         max_idle_s = (
             float("inf") if self.request.repeatable else self.pool.trust_s
         )
@@ -108,30 +112,36 @@
         self.sent = True
         self.last_received_at = clock.now()
         self.connected_at = connection.opened_at
-        rested_s = self.last_received_at - connection.used_at
+        idle_s = self.last_received_at - connection.used_at
         self.monitor.attempts.add(self)
         self.connection = connection
         try:
             return await self._exchange(connection)
         except http1_client.CallError as error:
-            was_ours = self.give_up_reason and not self.found_silent
-            if self.reused and self.meaning is None and not was_ours:
-                self.pool.note_dead(rested_s)
+            # An attempt given up for another cause than silence tells nothing
+            # of its connection.
+            has_other_cause = self.give_up_reason and not self.found_silent
+            if self.reused and self.meaning is None and not has_other_cause:
+                self.pool.note_dead(idle_s)
             self.closed_by_target = error.sent and not self.give_up_reason
             reason = self.give_up_reason or error.reason
-            return self._failed(http1_client.CallError(error.sent, reason))
+            return self._failure_outcome(
+                http1_client.CallError(error.sent, reason)
+            )
         finally:
             self.monitor.attempts.discard(self)
-            # Closing takes no time, and must not lose an answer that is here.
+            # Shielded so that a cancellation here does not lose an answer that
+            # has arrived. Closing a connection does not block.
             with anyio.CancelScope(shield=True):
                 await self.pool.give_back(connection, self.max_idle)
 
     def give_up(self, reason: str) -> bool:
-        """Ends the attempt as lost if another can follow; returns whether.
+        """Ends the attempt as lost if it can be retried; returns whether.
 
-        Otherwise silence is no reason to end it: the answer may still come.
-        Only the target's connection is closed: a write to the caller that is
-        under way must not be cut, since another attempt may go on after it.
+        Without a retry the attempt continues, since the answer may still come.
+        Only the connection to the target is closed: a write to the caller in
+        progress must not be interrupted, since another attempt may resume the
+        stream after it.
         """
         if self.give_up_reason or not self.callbacks.reserve_retry():
             return False
@@ -141,7 +151,7 @@
         return True
 
     def is_unacknowledged(self) -> bool:
-        """Returns whether nothing shows that the request has arrived."""
+        """Returns whether the target has not acknowledged the request."""
         if self.connection is None or self.meaning is not None:
             return False
         return self.connection.is_request_unacknowledged()
@@ -150,7 +160,7 @@
         self, connection: http1_client.ClientConnection
     ) -> outcome_lib.Outcome:
         caller = self.request.caller
-        # Connecting may have taken a part of the time that the plan had.
+        # Connecting may have used up part of the plan's time.
         plan = self.plan._replace(seconds_left=self.request.seconds_left())
         sent = http1_client.ClientRequest(
             caller.method,
@@ -166,19 +176,19 @@
         if self.reused:
             self.pool.note_alive()
         self.meaning = attempts.decode_answer(head)
-        wrong = self._check(head, self.meaning)
-        if wrong:
+        fault = self._find_fault(head, self.meaning)
+        if fault:
             connection.told_close = True
-            return outcome_lib.Lost(wrong)
+            return outcome_lib.Lost(fault)
         self.callbacks.note_head(self.meaning)
         if self.meaning.not_run:
-            await self._pass_over_body(connection)
+            await self._discard_body(connection)
             return outcome_lib.NotRun(head.status, self.meaning)
         if self.request.route.streaming and head.status == 200:
-            self.relay.on_received = self._note_heard
+            self.relay.on_received = self._note_received
             await self.relay.run(connection, head)
             return outcome_lib.Relayed(head.status)
-        return await self._collect(connection, head)
+        return await self._read_or_relay(connection, head)
 
     async def _read_head(
         self, connection: http1_client.ClientConnection
@@ -186,8 +196,9 @@
         """Returns the head of the answer.
 
         Raises:
-            CallError: None came, or not before the weights were too old: one
-                that waits in the target's queue must not begin then.
+            CallError: None arrived, or not before the target's weights became
+                too old. A request that waits in the target's queue must not
+                start after that.
         """
         start_by = self.plan.start_by
         with anyio.CancelScope(deadline=start_by or float("inf")):
@@ -195,30 +206,31 @@
         self.give_up_reason = "not begun on old weights in time"
         raise http1_client.CallError(True, self.give_up_reason)
 
-    async def _pass_over_body(
+    async def _discard_body(
         self, connection: http1_client.ClientConnection
     ) -> None:
-        """Reads the body of a refusal, whose head has said all.
+        """Reads and discards the body of a refusal.
 
-        If it breaks off, its connection is not kept.
+        The head already carries all that matters. If the body is cut off, the
+        connection is not reused.
         """
         try:
-            await connection.read_body(_WHOLE_BYTES)
+            await connection.read_body(_MAX_BUFFERED_BYTES)
         except http1_client.CallError as error:
             self.request.log.warn("refusal_cut", reason=error.reason)
 
-    async def _collect(
+    async def _read_or_relay(
         self,
         connection: http1_client.ClientConnection,
         head: http1_client.AnswerHead,
     ) -> outcome_lib.Outcome:
-        """Returns a short answer whole; relays a long one as it comes."""
+        """Buffers and returns a short answer; relays a long one in parts."""
         parts = []
         size = 0
         while part := await connection.read_part():
             parts.append(part)
             size += len(part)
-            if size > _WHOLE_BYTES:
+            if size > _MAX_BUFFERED_BYTES:
                 await self._relay_long(connection, head, b"".join(parts))
                 return outcome_lib.Relayed(head.status)
         body = b"".join(parts)
@@ -237,13 +249,13 @@
             await answer.send(part)
         await answer.end()
 
-    def _note_heard(self) -> None:
+    def _note_received(self) -> None:
         self.last_received_at = clock.now()
 
-    def _check(
+    def _find_fault(
         self, head: http1_client.AnswerHead, meaning: attempts.AnswerMeaning
     ) -> str:
-        """Returns what is wrong with the head of an answer, or nothing."""
+        """Returns what is wrong with the head of an answer; empty if valid."""
         if meaning.request_id != self.request.request_id.encode("latin-1"):
             return "crossed_answer"
         if meaning.encoded:
@@ -252,7 +264,9 @@
             return "no_receipt"
         return ""
 
-    def _failed(self, error: http1_client.CallError) -> outcome_lib.Outcome:
+    def _failure_outcome(
+        self, error: http1_client.CallError
+    ) -> outcome_lib.Outcome:
         if not error.sent:
             return outcome_lib.Unsent(error.reason)
         answer: http1_server.CallerAnswer = self.relay.answer
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -1,4 +1,4 @@
-"""Turns beliefs into a plan for the next attempt of a request."""
+"""Chooses the target and plans the next attempt of a request."""
 
 from __future__ import annotations
 
@@ -23,45 +23,52 @@
 
 __all__ = ["AntiAffinity", "Chooser", "PlannedAttempt"]
 
-# First-byte time that old weights are worth, seconds.
-_BEHIND_S = 0.3
-# The same for each token of a copy of a prefix: it takes memory from another
-# one, which is read again later.
-_COPY_S = 1.0 / 50_000.0
-# The same for an engine in another data centre: it decides where prefixes are
-# short or queues alike, and prompts do not wait for it.
-_CROSSING_S = 0.02
-# The same for a new connection: less than reading a short prefix, so that it
-# decides among engines that are alike otherwise.
-_CONNECTING_S = 0.004
+# The costs below are added to an engine's expected time to the first byte when
+# engines are compared. This one is for outdated weights.
+_OUTDATED_WEIGHTS_COST_S = 0.3
+# For each token of a further copy of a prefix: the copy takes memory from
+# another prefix, which has to be read again later.
+_COPY_COST_S_PER_TOKEN = 1.0 / 50_000.0
+# For an engine in another data centre. It decides where prefixes are short or
+# queues are alike, but is too small for prompts to wait for a local engine.
+_OTHER_DATA_CENTRE_COST_S = 0.02
+# For a new connection. Less than the time to read a short prefix, so that it
+# only decides between engines that are alike otherwise.
+_NEW_CONNECTION_COST_S = 0.004
 _NO_TARGET_RETRY_S = 0.3
 
 
 class AntiAffinity(enum.Enum):
-    """From what a request is kept away under which targets may end."""
+    """Which attempts a request must not share a target with.
+
+    Applies to requests that are suspected of crashing targets.
+
+    Attributes:
+        NONE: Any target may be used.
+        SUSPECTS: Targets without attempts of other suspects on this host.
+        ALL: As `SUSPECTS`, and idle targets if there are any.
+    """
 
     NONE = enum.auto()
     SUSPECTS = enum.auto()
     ALL = enum.auto()
 
     @classmethod
-    def for_standing(
-        cls, standing: quarantine.QuarantineStatus
-    ) -> AntiAffinity:
-        """Returns what a request's standing asks for."""
-        if standing.ends >= quarantine.CULPRIT_MIN_ENDS:
+    def for_status(cls, status: quarantine.QuarantineStatus) -> AntiAffinity:
+        """Returns the level that a request's quarantine status requires."""
+        if status.ends >= quarantine.CULPRIT_MIN_ENDS:
             return cls.ALL
-        return cls.SUSPECTS if standing.is_suspect else cls.NONE
+        return cls.SUSPECTS if status.is_suspect else cls.NONE
 
 
 class PlannedAttempt(NamedTuple):
-    """A plan with what it rests on.
+    """An attempt that is planned but not made yet.
 
     Attributes:
-        plan: What is asked of the target.
-        pool: The pool it belongs to.
-        estimate: Of the time to its first byte.
-        attempt: Names the attempt; empty until it is made.
+        plan: Which target gets the request, and with which parameters.
+        pool: The pool of the target.
+        estimate: The estimated time to the first byte.
+        attempt_id: Identifies the attempt; empty until it is made.
     """
 
     plan: attempt_plan.AttemptPlan
@@ -71,15 +78,18 @@
 
 
 class Chooser:
-    """Chooses targets from what the host believes.
+    """Chooses targets by the host's view of the site.
 
     Attributes:
-        site: The host's beliefs.
+        site: The host's view of the site.
         pool: Connections to targets.
-        limits: Keeps to the limits that targets name.
-        caches: Adds to a plan where cached prefixes come from and go to.
-        suspects_on: This host's unfinished attempts of requests under which
-            targets may end, by target; only those above 0 are kept.
+        limits: Enforces the limits that targets name.
+        metrics: The gateway's metrics.
+        cache_planner: Adds to a plan where cached prefixes are fetched from and
+            saved to.
+        suspect_attempts: Number of this host's unfinished attempts of requests
+            suspected of crashing targets, by target; only numbers above 0 are
+            kept.
     """
 
     def __init__(
@@ -100,30 +110,29 @@
         request: intake.GatewayRequest,
         tried: frozenset[str],
         last_event_id: int | None,
-        apart: AntiAffinity = AntiAffinity.NONE,
+        anti_affinity: AntiAffinity = AntiAffinity.NONE,
     ) -> PlannedAttempt:
         """Returns the plan of the next attempt.
 
         Args:
             request: The caller's request.
-            tried: Targets that must not be taken again.
-            last_event_id: Of the last event relayed; the stream goes on
+            tried: Targets that must not be used again.
+            last_event_id: Id of the last event relayed; the stream resumes
                 after it.
-            apart: From what it is kept away, if there is a choice: targets
-                may end under it.
+            anti_affinity: Which targets are avoided if others are available.
 
         Raises:
-            RefusalError: No target can be taken.
+            RefusalError: No target is available.
         """
-        pool = self._pool(request.route)
+        pool = self._choose_pool(request.route)
         members = self.site.targets.members(pool) if pool else []
-        look = pool_view.PoolView(self, request, tried, members)
-        look.token_bytes = pool.cache_token_bytes if pool else 0.0
-        names = self._apart(look, apart)
-        choice = self._choose_within_limits(request, look, names)
-        if choice.name is None and len(names) < len(look.entries):
-            names = list(look.entries)
-            choice = self._choose_within_limits(request, look, names)
+        targets_view = pool_view.PoolView(self, request, tried, members)
+        targets_view.token_bytes = pool.cache_token_bytes if pool else 0.0
+        names = self._apply_anti_affinity(targets_view, anti_affinity)
+        choice = self._choose_within_limits(request, targets_view, names)
+        if choice.name is None and len(names) < len(targets_view.entries):
+            names = list(targets_view.entries)
+            choice = self._choose_within_limits(request, targets_view, names)
         self.metrics.choices.labels(choice.reason).inc()
         request.log.note(
             "target_chosen" if choice.name else "no_target",
@@ -132,16 +141,18 @@
             rank=choice.rank,
             pool=pool.name if pool else None,
             configuration=self.site.table.position if self.site.table else -1,
-            store_age_s=self.site.told_age_s(look.now),
-            candidates=look.summaries(),
+            store_age_s=self.site.told_age_s(targets_view.now),
+            candidates=targets_view.summarize(),
             targets=len(members),
-            old_weights=look.lag_fields(choice.name),
+            old_weights=targets_view.outdated_weights_fields(choice.name),
         )
         if pool is None or choice.name is None:
-            raise self._refusal(look)
+            raise self._refusal(targets_view)
         entry = self.site.targets.entries[choice.name]
-        planned = self._planned(request, pool, entry, look, last_event_id)
-        lag = look.lags.get(choice.name)
+        planned = self._create_planned_attempt(
+            request, pool, entry, targets_view, last_event_id
+        )
+        lag = targets_view.lags.get(choice.name)
         plan = self.cache_planner.add_cache_store(
             planned.plan, request, pool.cache_token_bytes
         )
@@ -149,92 +160,108 @@
         return planned._replace(plan=plan._replace(start_by=start_by))
 
     def note_suspect_ended(self, target: str) -> None:
-        """Notes that an attempt of a suspect has ended."""
+        """Counts down a target's attempts of suspected requests."""
         self.suspect_attempts[target] -= 1
         if not self.suspect_attempts[target]:
             del self.suspect_attempts[target]
 
-    def _pool(self, route: objects.Route) -> objects.Pool | None:
-        """Returns one of the route's pools by their weights."""
+    def _choose_pool(self, route: objects.Route) -> objects.Pool | None:
+        """Returns one of the route's pools at random by their weights."""
         table = self.site.table
-        parts = table.pool_shares(route) if table is not None else ()
-        if not parts:
+        shares = table.pool_shares(route) if table is not None else ()
+        if not shares:
             return None
-        if len(parts) == 1:
-            return parts[0].pool
+        if len(shares) == 1:
+            return shares[0].pool
         return random.choices(
-            [part.pool for part in parts], [part.weight for part in parts]
+            [share.pool for share in shares], [share.weight for share in shares]
         )[0]
 
-    def _refusal(self, look: pool_view.PoolView) -> errors.RefusalError:
-        """Returns why no target can be taken."""
+    def _refusal(self, targets_view: pool_view.PoolView) -> errors.RefusalError:
+        """Returns the refusal that tells why no target is available."""
         limited = target_choice.Exclusion.LIMITED
-        names = [view.name for view in look.views if view.exclusion is limited]
+        names = [
+            view.name
+            for view in targets_view.views
+            if view.exclusion is limited
+        ]
         if names:
-            return self.limits.refusal(names, look.now)
-        ends_at = [self.site.backoffs.ends_at(name) for name in look.entries]
-        if ends_at and min(ends_at) > look.now:
-            return _all_back_off(len(ends_at), min(ends_at) - look.now)
-        return no_target()
+            return self.limits.refusal(names, targets_view.now)
+        ends_at = [
+            self.site.backoffs.ends_at(name) for name in targets_view.entries
+        ]
+        if ends_at and min(ends_at) > targets_view.now:
+            return _all_backing_off(
+                len(ends_at), min(ends_at) - targets_view.now
+            )
+        return _no_target()
 
     def _choose_within_limits(
         self,
         request: intake.GatewayRequest,
-        look: pool_view.PoolView,
+        targets_view: pool_view.PoolView,
         names: list[str],
     ) -> target_choice.Choice:
-        """Chooses a target that may be sent this request."""
-        choice = self._choose(request, look, names)
-        while choice.name and not self.limits.admit(choice.name, look.now):
-            look.exclude_limited(choice.name)
-            choice = self._choose(request, look, names)
+        """Chooses a target whose limit allows this request."""
+        choice = self._choose(request, targets_view, names)
+        while choice.name and not self.limits.admit(
+            choice.name, targets_view.now
+        ):
+            targets_view.exclude_limited(choice.name)
+            choice = self._choose(request, targets_view, names)
         return choice
 
     def _choose(
         self,
         request: intake.GatewayRequest,
-        look: pool_view.PoolView,
+        targets_view: pool_view.PoolView,
         names: list[str],
     ) -> target_choice.Choice:
         if not request.prompt.parts:
-            views = [look.view(name) for name in names]
+            views = [targets_view.view(name) for name in names]
             return target_choice.choose_least_busy(
                 request.request_id, views, self.site.settings.data_centre
             )
-        weights = target_choice.EngineCosts(
-            _BEHIND_S, _COPY_S, _CROSSING_S, _CONNECTING_S
+        costs = target_choice.EngineCosts(
+            _OUTDATED_WEIGHTS_COST_S,
+            _COPY_COST_S_PER_TOKEN,
+            _OTHER_DATA_CENTRE_COST_S,
+            _NEW_CONNECTION_COST_S,
         )
         return target_choice.choose_engine(
             cache_source.affinity_key(request),
             names,
-            look.view,
-            weights,
+            targets_view.view,
+            costs,
             self.site.settings.data_centre,
         )
 
-    def _apart(
-        self, look: pool_view.PoolView, apart: AntiAffinity
+    def _apply_anti_affinity(
+        self, targets_view: pool_view.PoolView, anti_affinity: AntiAffinity
     ) -> list[str]:
-        """Returns the targets where a suspect may run.
+        """Returns the targets where a suspected request may run.
 
-        Those that ran on one target together would go on together to the next
-        one where their prompts are warm, and could never be told apart. Of the
-        others each still goes where it costs least.
+        Suspects that ran together on one target would otherwise move together
+        to the next one that has their prompts cached, and it would stay unknown
+        which of them crashes targets. Among the remaining targets the cheapest
+        is still chosen.
         """
-        names = list(look.entries)
-        if apart is AntiAffinity.NONE:
+        names = list(targets_view.entries)
+        if anti_affinity is AntiAffinity.NONE:
             return names
-        free = [name for name in names if name not in self.suspect_attempts]
-        if apart is AntiAffinity.ALL:
-            return [name for name in free if look.is_idle(name)] or free
-        return free
-
-    def _planned(
+        allowed = [name for name in names if name not in self.suspect_attempts]
+        if anti_affinity is AntiAffinity.ALL:
+            return [
+                name for name in allowed if targets_view.is_idle(name)
+            ] or allowed
+        return allowed
+
+    def _create_planned_attempt(
         self,
         request: intake.GatewayRequest,
         pool: objects.Pool,
         entry: target_list.ListedTarget,
-        look: pool_view.PoolView,
+        targets_view: pool_view.PoolView,
         last_event_id: int | None,
     ) -> PlannedAttempt:
         target = entry.target
@@ -254,11 +281,11 @@
             request.organisation,
             last_event_id=last_event_id,
         )
-        return PlannedAttempt(plan, pool, look.expected(target.name))
+        return PlannedAttempt(plan, pool, targets_view.estimate_of(target.name))
 
 
-def no_target() -> errors.RefusalError:
-    """Returns the refusal of a request that no target can take now."""
+def _no_target() -> errors.RefusalError:
+    """Returns the refusal of a request for which no target is available."""
     return errors.RefusalError(
         "no_target",
         503,
@@ -268,13 +295,13 @@
     )
 
 
-def _all_back_off(count: int, ends_in_s: float) -> errors.RefusalError:
-    """Returns the refusal of a request whose targets all shed load."""
+def _all_backing_off(count: int, ends_in_s: float) -> errors.RefusalError:
+    """Returns the refusal of a request whose targets are all backing off."""
     return errors.RefusalError(
         "targets_backing_off",
         503,
-        f"All {count} targets shed load; the first takes requests again in "
-        f"{ends_in_s:.2f} s.",
+        f"All {count} targets are backing off; the first accepts requests "
+        f"again in {ends_in_s:.2f} s.",
         "Try again after the time in Retry-After; operators see back-offs "
         "with `hillthread-ctl targets`.",
         retry_after_s=ends_in_s,
--- a/hillthread/coordination/gateway/serving/event_relay.py
+++ b/hillthread/coordination/gateway/serving/event_relay.py
@@ -1,7 +1,7 @@
-"""Relays a stream of events over all runs that produce it.
+"""Relays a stream of events from one or more runs of a request.
 
-Only whole events are passed on. When a stream goes on in another run, events
-that the caller has already are left out, and the answer keeps the head of its
+Only complete events are relayed. When another run resumes the stream, events
+that the caller already has are skipped, and the answer keeps the head from the
 first run.
 """
 
@@ -22,30 +22,31 @@
 
 
 class EventRelay:
-    """One answer to a caller, as a stream.
+    """Relays the events of one answer to a caller.
 
     Attributes:
-        answer: Where it goes.
-        last_id: Of the last event relayed, or None.
-        events: Events relayed.
-        first_at: Seconds on the clock, of the first event, or None.
+        answer: The answer to the caller.
+        last_event_id: Id of the last event relayed, or None.
+        event_count: Number of events relayed.
+        first_sent_at: Clock time in seconds of the first event, or None.
         longest_gap_s: Longest pause between two events.
-        weights_version: Weights that the last event told, or None.
-        begun: Called when the first event of a run is relayed.
-        heard: Called when anything of a run came.
+        weights_version: The last weights version that an event named since
+            `take_weights_version` was called, or None.
+        on_first_event: Called when the first event of a run is relayed.
+        on_received: Called when any part of a run's answer arrives.
     """
 
     def __init__(self, answer: http1_server.CallerAnswer):
         self.answer = answer
         self.last_event_id: int | None = None
-        self.events = 0
-        self.first_at: float | None = None
+        self.event_count = 0
+        self.first_sent_at: float | None = None
         self.longest_gap_s = 0.0
         self.weights_version: int | None = None
-        self.on_first_event: Callable[[], None] = _nobody
-        self.on_received: Callable[[], None] = _nobody
-        self._last_at = 0.0
-        self._run_began = False
+        self.on_first_event: Callable[[], None] = _ignore
+        self.on_received: Callable[[], None] = _ignore
+        self._last_sent_at = 0.0
+        self._has_run_begun = False
 
     async def run(
         self,
@@ -55,9 +56,9 @@
         """Relays one run to its end.
 
         Raises:
-            CallError: The run broke off.
+            CallError: The run was cut off.
         """
-        self._run_began = False
+        self._has_run_begun = False
         splitter = event_stream.EventSplitter(_MAX_EVENT_BYTES)
         while part := await connection.read_part():
             self.on_received()
@@ -66,13 +67,13 @@
             except errors.HillthreadError as error:
                 raise http1_client.CallError(True, error.message) from error
             await self._relay(head, events)
-        await self._pass_on(head, splitter.rest)
+        await self._forward(head, splitter.rest)
         if not self.answer.started:
             raise http1_client.CallError(True, "stream without events")
         await self.answer.end()
 
     def take_weights_version(self) -> int | None:
-        """Returns the weights told since the last call, or None."""
+        """Returns and clears `weights_version`."""
         version, self.weights_version = self.weights_version, None
         return version
 
@@ -81,15 +82,15 @@
         head: http1_client.AnswerHead,
         events: list[event_stream.Event],
     ) -> None:
-        fresh = [event for event in events if self._is_fresh(event)]
-        for event in fresh:
+        new_events = [event for event in events if self._is_new(event)]
+        for event in new_events:
             version = attempts.event_weights(event.raw)
             if version is not None:
                 self.weights_version = version
-        await self._pass_on(head, b"".join(event.raw for event in fresh))
-        self.events += len(fresh)
+        await self._forward(head, b"".join(event.raw for event in new_events))
+        self.event_count += len(new_events)
 
-    def _is_fresh(self, event: event_stream.Event) -> bool:
+    def _is_new(self, event: event_stream.Event) -> bool:
         if event.index is None:
             return True
         if self.last_event_id is not None and event.index <= self.last_event_id:
@@ -97,21 +98,21 @@
         self.last_event_id = event.index
         return True
 
-    async def _pass_on(
+    async def _forward(
         self, head: http1_client.AnswerHead, data: bytes
     ) -> None:
         if not data:
             return
         now = clock.now()
-        if not self._run_began:
-            self._run_began = True
+        if not self._has_run_begun:
+            self._has_run_begun = True
             self.on_first_event()
-        if self.first_at is None:
-            self.first_at = now
+        if self.first_sent_at is None:
+            self.first_sent_at = now
         else:
-            gap_s = now - self._last_at
+            gap_s = now - self._last_sent_at
             self.longest_gap_s = max(self.longest_gap_s, gap_s)
-        self._last_at = now
+        self._last_sent_at = now
         if self.answer.started:
             await self.answer.send(data)
             return
@@ -119,5 +120,5 @@
         await self.answer.begin(head.status, headers, data)
 
 
-def _nobody() -> None:
-    """Stands for nobody who wants to know that a run has begun."""
+def _ignore() -> None:
+    """Default callback; does nothing."""
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -1,4 +1,4 @@
-"""Carries one request to targets: attempts, retries, resumes, the answer."""
+"""Serves one request: attempts, retries, stream resumes and its answer."""
 
 from __future__ import annotations
 
@@ -19,27 +19,38 @@
 
 __all__ = ["Job"]
 
-# Sends of one request at most, those that targets refused included.
-_MAX_SENDS = 5
-# A target that refuses for its weights twice is not what it is taken for.
-_MAX_MISMATCHES = 2
+# Limits all attempts of one request, including those that targets refused.
+# Those that may have run are limited further by the route's `max_attempts`.
+_MAX_ATTEMPTS = 5
+# Refusals because of its weights after which a target is not used again for the
+# request: what this host knows of its weights is wrong.
+_MAX_WEIGHTS_REFUSALS = 2
 _OVERLOAD_RETRY_S = 0.25
-# Statuses that promise that a request has not run.
-_PROMISES = (408, 421, 429, 503)
+# Statuses which guarantee that a request has not run.
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 class Job:
-    """One request on its way.
+    """Serves one request with as many attempts as it needs and may have.
 
     Attributes:
+        context: Services and state that all jobs share.
+        site: The host's view of the site.
+        metrics: The gateway's metrics.
+        request: The caller's request.
+        answer: The answer to the caller.
+        relay: Relays the events of a streamed answer.
         sender: Makes the attempts.
-        tried: Targets not to be taken again.
-        mismatches: How often each target refused for its weights.
-        last_answer: A target's whole answer, to be relayed: the one wanted,
-            or a failure that no later attempt has improved.
-        retry_claimed: The budget was charged for an attempt not yet planned.
-        is_suspect: Targets may end under it; as found before the last attempt.
-        tries_suspect: This try is the trial of one under which several ended.
+        tried_targets: Targets not to be used again.
+        weights_refusals: How often each target refused because of its weights.
+        last_answer: A target's complete answer, to be relayed at the end:
+            the final one, or a failure that no later attempt has improved on.
+        retry_reserved: The retry budget was charged for an attempt that is not
+            planned yet.
+        is_suspect: Whether the request is suspected of crashing targets, as
+            of before the last attempt.
+        is_suspect_trial: Whether this is the trial run of a request during
+            which several targets crashed.
     """
 
     def __init__(
@@ -57,25 +68,25 @@
         self.sender = sender_lib.Sender(
             context, request, self.relay, self._reserve_retry
         )
-        self.tried: set[str] = set()
-        self.mismatches: collections.Counter[str] = collections.Counter()
+        self.tried_targets: set[str] = set()
+        self.weights_refusals: collections.Counter[str] = collections.Counter()
         self.last_answer: http1_client.WholeAnswer | None = None
         self.retry_reserved = False
         self.is_suspect = False
-        self.tries_suspect = False
+        self.is_suspect_trial = False
 
     @property
     def attempts_made(self) -> int:
-        """Attempts so far."""
+        """Number of attempts made so far."""
         return self.sender.attempts_made
 
     @property
     def possible_runs(self) -> int:
-        """Attempts that may have run."""
+        """Number of attempts that may have run."""
         return self.sender.possible_runs
 
     def run_state(self) -> errors.RunState:
-        """Returns whether the request has run, as far as it is known."""
+        """Returns whether the request has run, as far as is known."""
         if self.possible_runs == 0:
             return errors.RunState.NOT_RUN
         if self.last_answer is not None:
@@ -83,64 +94,68 @@
         return errors.RunState.UNKNOWN
 
     async def run(self) -> None:
-        """Makes attempts until the request is answered, or `last_answer` is.
+        """Makes attempts until the answer is relayed or in `last_answer`.
 
         Raises:
-            RefusalError: It cannot be answered.
+            RefusalError: The request cannot be answered.
             BrokenAnswerError: Its answer cannot be completed.
         """
-        while (planned := self._plan()) is not None:
+        while (planned := self._plan_attempt()) is not None:
             result = await self.sender.send(planned, self.is_suspect)
             if not self._handle_outcome(result, planned):
                 return
 
-    def _plan(self) -> chooser_lib.PlannedAttempt | None:
-        """Returns the next attempt; None when the last failure is relayed."""
+    def _plan_attempt(self) -> chooser_lib.PlannedAttempt | None:
+        """Returns the next attempt; None if `last_answer` is to be relayed."""
         request = self.request
         try:
             if self.attempts_made:
                 self._recheck_request()
             intake.check_deadline(request)
-            standing = self.context.quarantine.admit(
-                request, self.possible_runs, self.tries_suspect
+            quarantine_status = self.context.quarantine.admit(
+                request, self.possible_runs, self.is_suspect_trial
+            )
+            self.is_suspect = quarantine_status.is_suspect
+            self.is_suspect_trial = (
+                quarantine_status.ends >= quarantine.HOLD_MIN_ENDS
             )
-            self.is_suspect = standing.is_suspect
-            self.tries_suspect = standing.ends >= quarantine.HOLD_MIN_ENDS
             planned = self.context.chooser.plan(
                 request,
-                frozenset(self.tried),
+                frozenset(self.tried_targets),
                 self.relay.last_event_id,
-                chooser_lib.AntiAffinity.for_standing(standing),
+                chooser_lib.AntiAffinity.for_status(quarantine_status),
             )
             if not self.possible_runs:
-                self._check_aim(planned)
+                self._check_first_byte_aim(planned)
             return planned
         except errors.RefusalError as refusal:
             if self.last_answer is not None:
                 return None
-            raise self._refusal(refusal) from refusal
+            raise self._true_refusal(refusal) from refusal
 
-    def _check_aim(self, planned: chooser_lib.PlannedAttempt) -> None:
-        """Refuses a prompt that would wait for longer than its aim.
+    def _check_first_byte_aim(
+        self, planned: chooser_lib.PlannedAttempt
+    ) -> None:
+        """Refuses a prompt whose queueing time would exceed its route's aim.
 
         Raises:
-            RefusalError: It would; it has not run.
+            RefusalError: It would wait for too long; it has not run.
         """
-        expected = planned.estimate
+        first_byte_estimate = planned.estimate
         aim_s = self.request.route.first_byte_aim_s
-        if not aim_admission.is_queue_too_long(expected, aim_s):
+        if not aim_admission.is_queue_too_long(first_byte_estimate, aim_s):
             return
         raise errors.RefusalError(
             "queue_too_long",
             503,
-            f"On the engine that costs least, prompts ahead take "
-            f"{expected.queue_s:.2f} s; the aim is {aim_s:.2f} s.",
+            f"On the cheapest engine, the prompts queued ahead take "
+            f"{first_byte_estimate.queue_s:.2f} s; the aim is {aim_s:.2f} s.",
             "Try again after the time in Retry-After.",
-            retry_after_s=aim_admission.queue_drain_s(expected),
+            retry_after_s=aim_admission.queue_drain_s(first_byte_estimate),
         )
 
     def _recheck_request(self) -> None:
-        """Checks the request against what is in force before a retry."""
+        """Checks the request against the current configuration on a retry."""
         request = self.request
         intake.authenticate(self.site, request.caller, request.route)
         route = intake.current_route(self.site, request.caller)
@@ -149,7 +164,8 @@
             raise errors.RefusalError(
                 "target_failed",
                 502,
-                "The request may have run, and may not be repeated any more.",
+                "The request may have run, and its route no longer allows "
+                "repetition.",
                 "Find out whether it has run before sending it again.",
                 self.run_state(),
             )
@@ -157,18 +173,18 @@
     def _handle_outcome(
         self, result: outcome_lib.Outcome, planned: chooser_lib.PlannedAttempt
     ) -> bool:
-        """Acts on the end of an attempt; returns whether another follows."""
+        """Handles the end of an attempt; returns whether another follows."""
         name = planned.plan.target.name
         match result:
             case outcome_lib.Relayed():
                 return False
             case outcome_lib.Unsent(reason):
-                self.tried.add(name)
+                self.tried_targets.add(name)
                 return self._retry_or_refuse(planned, reason)
             case outcome_lib.NotRun(status):
                 self._note_refusal(name, result)
                 return self._retry_or_refuse(planned, f"refused with {status}")
-        self.tried.add(name)
+        self.tried_targets.add(name)
         match result:
             case outcome_lib.Lost(reason):
                 return self._repeat_or_refuse(planned, reason)
@@ -177,23 +193,23 @@
                 return True
             case outcome_lib.Whole(whole):
                 self.last_answer = whole
-                return self._may_improve(planned, whole)
+                return self._may_retry_failure(planned, whole)
 
     def _note_refusal(self, name: str, refusal: outcome_lib.NotRun) -> None:
-        """Notes whether a target that refused may be taken again."""
+        """Excludes a target that refused, but not after its first mismatch."""
         is_other = refusal.meaning.incarnation not in ("", name)
         is_mismatch = refusal.status == 421
-        self.mismatches[name] += is_mismatch
-        is_repeated = self.mismatches[name] >= _MAX_MISMATCHES
+        self.weights_refusals[name] += is_mismatch
+        is_repeated = self.weights_refusals[name] >= _MAX_WEIGHTS_REFUSALS
         if not is_mismatch or is_other or is_repeated:
-            self.tried.add(name)
+            self.tried_targets.add(name)
 
-    def _may_improve(
+    def _may_retry_failure(
         self,
         planned: chooser_lib.PlannedAttempt,
         whole: http1_client.WholeAnswer,
     ) -> bool:
-        """Returns whether a target's failure is worth another run."""
+        """Returns whether the request is retried after an error status."""
         if whole.head.status < 500 or not self._may_run_again():
             return False
         return self._withdraw(planned, f"status {whole.head.status}")
@@ -202,16 +218,16 @@
         return (
             self.request.repeatable
             and self.possible_runs < self.request.route.max_attempts
-            and self.attempts_made < _MAX_SENDS
+            and self.attempts_made < _MAX_ATTEMPTS
         )
 
     def _reserve_retry(self, planned: chooser_lib.PlannedAttempt) -> bool:
-        """Charges the budget for an attempt after one that is given up now.
+        """Charges the retry budget before the current attempt is given up.
 
         Returns:
             Whether another attempt may follow.
         """
-        if not self.request.repeatable or self.attempts_made >= _MAX_SENDS:
+        if not self.request.repeatable or self.attempts_made >= _MAX_ATTEMPTS:
             return False
         if self.possible_runs + 1 >= self.request.route.max_attempts:
             return False
@@ -226,21 +242,23 @@
         """Returns whether another attempt follows one that has not run.
 
         Raises:
-            RefusalError: None may, and no answer is there to be relayed.
-            BrokenAnswerError: None may, and a stream has begun.
+            RefusalError: None may, and there is no answer to relay.
+            BrokenAnswerError: None may, and a stream was started.
         """
         if self.answer.started:
             self._resume_or_break(planned, reason)
             return True
-        if self.attempts_made < _MAX_SENDS and self._withdraw(planned, reason):
+        if self.attempts_made < _MAX_ATTEMPTS and self._withdraw(
+            planned, reason
+        ):
             return True
         if self.last_answer is not None:
             return False
-        raise self._refusal(
+        raise self._true_refusal(
             errors.RefusalError(
                 "overloaded",
                 503,
-                f"No target took the request; the last one: {reason}.",
+                f"No target accepted the request; the last one: {reason}.",
                 "Try again after the time in Retry-After.",
                 retry_after_s=_OVERLOAD_RETRY_S,
             )
@@ -252,7 +270,7 @@
         """Returns whether another attempt follows one that may have run.
 
         Raises:
-            RefusalError: None may, and no answer is there to be relayed.
+            RefusalError: None may, and there is no answer to relay.
         """
         if self._may_run_again() and self._withdraw(planned, reason):
             return True
@@ -272,7 +290,11 @@
     def _resume_or_break(
         self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> None:
-        """Lets a broken stream go on in another run, or breaks it off."""
+        """Checks that another attempt may resume a broken stream.
+
+        Raises:
+            BrokenAnswerError: None may; the answer stays incomplete.
+        """
         why_not = self._why_no_resume(planned, reason)
         if why_not:
             self.request.log.warn("no_resume", reason=reason, why=why_not)
@@ -291,7 +313,7 @@
     def _why_no_resume(
         self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> str:
-        """Returns why a broken stream cannot go on; empty when it can."""
+        """Returns why a broken stream cannot be resumed; empty if it can."""
         if not self.request.route.resumable:
             return "its route is not resumable"
         if self.relay.last_event_id is None:
@@ -299,7 +321,7 @@
         if not self._may_run_again():
             return "it may not run on more targets"
         if not self._withdraw(planned, reason):
-            return "the retry budget is spent"
+            return "the retry budget is exhausted"
         return ""
 
     def _withdraw(
@@ -324,16 +346,16 @@
         return allowed
 
     async def relay_last_answer(self, whole: http1_client.WholeAnswer) -> None:
-        """Passes on a target's whole answer.
+        """Relays a target's complete answer.
 
-        A status that promises that the request has not run must not be passed
-        on for one that may have run.
+        A status which guarantees that the request has not run must not be
+        relayed for a request that may have run.
 
         Raises:
-            RefusalError: The answer's status may not be passed on.
+            RefusalError: The answer has such a status.
         """
         head, body = whole
-        if head.status in _PROMISES:
+        if head.status in _NOT_RUN_STATUSES:
             raise errors.RefusalError(
                 "target_failed",
                 502,
@@ -344,8 +366,15 @@
         headers = attempts.relayed_headers(head)
         await self.answer.send_whole(head.status, headers, body)
 
-    def _refusal(self, refusal: errors.RefusalError) -> errors.RefusalError:
-        """Returns a refusal that is true of a request that may have run."""
+    def _true_refusal(
+        self, refusal: errors.RefusalError
+    ) -> errors.RefusalError:
+        """Returns a refusal that does not deny that the request may have run.
+
+        Args:
+            refusal: The reason why no further attempt is made; it is returned
+                unchanged if no attempt may have run.
+        """
         if self.possible_runs == 0:
             return refusal
         return errors.RefusalError(
--- a/hillthread/coordination/gateway/serving/outcome.py
+++ b/hillthread/coordination/gateway/serving/outcome.py
@@ -1,4 +1,7 @@
-"""How an attempt ended, as far as the gateway can prove."""
+"""Outcomes of attempts, as far as the gateway can prove them.
+
+The lower-cased class names are values of a metric label and a log field.
+"""
 
 from __future__ import annotations
 
@@ -12,18 +15,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unsent:
-    """No byte reached the target."""
+    """No byte reached the target.
+
+    Attributes:
+        reason: Why it could not be sent.
+    """
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The target said that it did not run the request and never will.
+    """The target answered that it did not run the request and never will.
 
     Attributes:
-        status: Of its answer.
-        meaning: What its answer said.
+        status: The status of its answer.
+        meaning: The decoded head of its answer.
     """
 
     status: int
@@ -32,28 +39,44 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """It may have run, and no answer of it can be passed on."""
+    """The attempt may have run, but there is no answer to relay.
+
+    Attributes:
+        reason: Why the answer is missing or unusable.
+    """
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Broken:
-    """A stream broke off after some of its events were relayed."""
+    """The answer was cut off after a part of it was relayed.
+
+    Attributes:
+        reason: Why it was cut off.
+    """
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Whole:
-    """It ran, and its whole answer is here, not yet relayed."""
+    """The attempt ran, and its complete answer is not relayed yet.
+
+    Attributes:
+        answer: The answer.
+    """
 
     answer: http1_client.WholeAnswer
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relayed:
-    """It ran, and its answer was relayed whole."""
+    """The attempt ran, and its answer was relayed completely.
+
+    Attributes:
+        status: The status of the answer.
+    """
 
     status: int
 
--- a/hillthread/coordination/gateway/serving/pool_view.py
+++ b/hillthread/coordination/gateway/serving/pool_view.py
@@ -1,4 +1,4 @@
-"""How the targets of a pool look for one request."""
+"""Assesses the targets of a pool for one request."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 from hillthread.state.targets import weights as weights_lib
 from hillthread.transport import http1_client
 
-__all__ = ["PoolKnowledge", "PoolView"]
+__all__ = ["PoolContext", "PoolView"]
 
-# A request waits in an engine's queue up to this long, as far as is foreseen.
-_LONGEST_WAIT_S = 2.0
+# Maximum wait in an engine's queue that is assumed when predicting whether its
+# weights are still recent enough at the start of a request.
+_MAX_EXPECTED_WAIT_S = 2.0
 _MAX_SUMMARIES = 8
 
 
-class PoolKnowledge(Protocol):
-    """What a view is made from.
+class PoolContext(Protocol):
+    """What a pool view reads from; the chooser provides it.
 
     Attributes:
-        site: The host's beliefs.
+        site: The host's view of the site.
         pool: Connections to targets.
         limits: Enforces the limits of targets.
-        caches: Knows where cached prefixes come from.
+        cache_planner: Tells where cached prefixes can be fetched from.
     """
 
     site: site_lib.Site
@@ -43,30 +44,46 @@
 
 
 class PoolView:
-    """How the targets of a pool look for one request, now.
+    """The targets of a pool as seen for one request at one time.
+
+    Targets are assessed lazily, by `view`.
 
     Attributes:
-        now: Seconds.
+        site: The host's view of the site.
+        pool: Connections to targets.
+        cache_planner: Tells where cached prefixes can be fetched from.
+        request: The caller's request.
+        token_bytes: Bytes of KV cache for each token; 0 if not known.
+        shared: Digest and tokens of the parts of the prompt that other prompts
+            may share.
+        fetch_tokens_per_s_by_scope: Rate at which the shared parts can be
+            fetched from a store of KV cache, by cache scope.
+        model: The model of the request; empty for plain requests.
+        tried: Targets that must not be used again.
+        now: Clock time of the view, in seconds.
         entries: The targets, by name.
-        views: Those that were looked at.
-        lags: How the weights of these lag behind, where they do.
-        limited: Targets that may not be sent more now.
+        views: The targets assessed so far.
+        lags: How far the weights of assessed targets lag behind, by name.
+        estimates: Estimated time to the first byte of assessed targets, by
+            name.
+        limits: The limits of targets.
+        limited: Targets that were chosen and found to be at their limit.
     """
 
     def __init__(
         self,
-        chooser: PoolKnowledge,
+        context: PoolContext,
         request: intake.GatewayRequest,
         tried: frozenset[str],
         members: list[target_list.ListedTarget],
     ):
-        self.site = chooser.site
-        self.pool = chooser.pool
-        self.cache_planner = chooser.cache_planner
+        self.site = context.site
+        self.pool = context.pool
+        self.cache_planner = context.cache_planner
         self.request = request
         self.token_bytes = 0.0
         self.shared = cache_source.shared_parts(request)
-        self.fetch_rates: dict[str, float] = {}
+        self.fetch_tokens_per_s_by_scope: dict[str, float] = {}
         self.model = request.prompt.model
         self.tried = tried
         self.now = clock.now()
@@ -74,19 +91,23 @@
         self.views: list[target_choice.TargetView] = []
         self.lags: dict[str, weights_lib.WeightsLag] = {}
         self.estimates: dict[str, first_byte.Estimate] = {}
-        self.limits = chooser.limits.limits
+        self.limits = context.limits.limits
         self.limited: set[str] = set()
 
     def exclude_limited(self, name: str) -> None:
-        """Looks anew, at no target that may not be sent more."""
+        """Restarts the assessment, without targets at their limit.
+
+        Args:
+            name: The chosen target, which turned out to be at its limit.
+        """
         self.limited.add(name)
         self.views.clear()
 
     def view(self, name: str) -> target_choice.TargetView:
-        """Returns how one target looks."""
+        """Assesses one target."""
         target = self.entries[name].target
         state = self.site.state(name)
-        expected = self._expect(name, state)
+        expected = self._estimate(name, state)
         lag = self._lag(name, state, expected)
         self.estimates[name] = expected
         if lag is not None:
@@ -106,19 +127,24 @@
     def is_idle(self, name: str) -> bool:
         """Returns whether nothing runs on a target, as far as this host knows.
 
-        Of other hosts' work it knows what waits to be read.
+        Of other hosts' work it knows only the prompts queued for prefill.
         """
         state = self.site.state(name)
         return not state.open_attempts and not state.load.queued_tokens(
             self.now
         )
 
-    def expected(self, name: str) -> first_byte.Estimate:
-        """Returns the estimate of a target that was looked at."""
+    def estimate_of(self, name: str) -> first_byte.Estimate:
+        """Returns the first-byte estimate of an assessed target."""
         return self.estimates[name]
 
-    def lag_fields(self, name: str | None) -> dict[str, object] | None:
-        """Returns how the chosen target's weights lag, for a log line."""
+    def outdated_weights_fields(
+        self, name: str | None
+    ) -> dict[str, object] | None:
+        """Returns log fields on the weights lag of the chosen target.
+
+        Also counts the choice if the weights are outdated.
+        """
         lag = self.lags.get(name) if name else None
         if lag is None:
             return None
@@ -130,17 +156,17 @@
             "grace": lag.grace,
         }
 
-    def summaries(self) -> list[str]:
-        """Returns what was seen of the targets looked at, in words."""
+    def summarize(self) -> list[str]:
+        """Returns one line of text for each of the first assessed targets."""
         return [_summary(view) for view in self.views[:_MAX_SUMMARIES]]
 
-    def _expect(
+    def _estimate(
         self, name: str, state: target_state.TargetState
     ) -> first_byte.Estimate:
-        """Returns when a target is expected to begin its answer."""
+        """Estimates when a target would begin its answer."""
         parts = self.request.prompt.parts
         shared_tokens = sum(tokens for _, tokens in self.shared)
-        scope = self._scope(name)
+        scope = self._cache_scope(name)
         needs = first_byte.PromptNeeds(
             shared_tokens,
             parts[-1].tokens if parts else 0,
@@ -154,23 +180,25 @@
             needs, queued, state.load.prefill_tokens_per_s
         )
 
-    def _scope(self, name: str) -> str:
-        """Returns within which a target finds parts of the prompt again."""
+    def _cache_scope(self, name: str) -> str:
+        """Returns the scope in which a target reuses cached prompt parts."""
         version = self.site.weights.held_version(name, self.model)
         return attempt_plan.cache_scope(
             self.request.organisation, self.model, version
         )
 
     def _fetch_tokens_per_s(self, scope: str) -> float:
-        """Returns how fast the shared parts come from a store; 0 if not."""
+        """Returns the rate of fetching the shared parts; 0 if impossible."""
         if not self.shared or not self.token_bytes:
             return 0.0
-        if scope not in self.fetch_rates:
+        if scope not in self.fetch_tokens_per_s_by_scope:
             bytes_per_s = self.cache_planner.fetch_bytes_per_s(
                 self.request, scope
             )
-            self.fetch_rates[scope] = bytes_per_s / self.token_bytes
-        return self.fetch_rates[scope]
+            self.fetch_tokens_per_s_by_scope[scope] = (
+                bytes_per_s / self.token_bytes
+            )
+        return self.fetch_tokens_per_s_by_scope[scope]
 
     def _lag(
         self,
@@ -178,9 +206,9 @@
         state: target_state.TargetState,
         expected: first_byte.Estimate,
     ) -> weights_lib.WeightsLag | None:
-        """Returns how a target's weights lag when a request starts there."""
+        """Predicts how far a target's weights lag when the request starts."""
         waits_s = max(state.first_byte_s, expected.queue_s)
-        starts_at = self.now + min(waits_s, _LONGEST_WAIT_S)
+        starts_at = self.now + min(waits_s, _MAX_EXPECTED_WAIT_S)
         return self.site.weights.lag(name, self.model, starts_at)
 
     def _exclusion(
@@ -189,7 +217,7 @@
         state: target_state.TargetState,
         lag: weights_lib.WeightsLag | None,
     ) -> target_choice.Exclusion | None:
-        """Returns why a target cannot be taken, or None."""
+        """Returns why a target cannot be used, or None."""
         if name in self.tried:
             return target_choice.Exclusion.TRIED
         if state.is_unreachable:
@@ -209,11 +237,11 @@
         return None
 
     def _is_limited(self, name: str) -> bool:
-        """Returns whether a target may not be sent more.
+        """Returns whether a target is excluded because of its limit.
 
-        At first none is, so that how much is asked of a target is known: only
-        when the choice falls on one that may not be sent more are all looked
-        at for it.
+        Limits are ignored until the chosen target turns out to be at its limit,
+        so that the demand for each target is known. Only then are all targets
+        checked.
         """
         if not self.limited:
             return False
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -1,4 +1,8 @@
-"""Sends one request's attempts, and tells all who count what is sent."""
+"""Makes the attempts of one request and accounts for them.
+
+Quotas, target limits, load estimates, the quarantine and other hosts learn of
+each attempt here.
+"""
 
 from __future__ import annotations
 
@@ -31,28 +35,28 @@
 
 __all__ = ["JobContext", "Sender"]
 
-# Of the connections that a target takes from all hosts together; it resets
-# further ones, and the rest is for those that carry requests.
+# Share of a target's maximum connections that all hosts together keep idle. The
+# rest is for connections in use; the target resets those beyond its maximum.
 _IDLE_SHARE = 0.5
-# Ends of attempts that have surely not run.
-_NOT_RUN = (outcome_lib.NotRun, outcome_lib.Unsent)
+# Outcomes of attempts that certainly did not run.
+_NOT_RUN_OUTCOMES = (outcome_lib.NotRun, outcome_lib.Unsent)
 
 
 class JobContext(NamedTuple):
-    """What all jobs share.
+    """Services and state that all jobs share.
 
     Attributes:
-        site: The host's beliefs.
-        metrics: What is counted.
+        site: The host's view of the site.
+        metrics: The gateway's metrics.
         pool: Connections to targets.
-        tasks: Where long bodies are sent.
+        tasks: Task group that sends long bodies.
         chooser: Chooses targets.
-        monitor: Finds out which targets can be reached.
-        learner: Takes in what attempts tell.
-        work: Tells other hosts of work sent to engines.
-        quarantine: Knows requests under which targets ended.
-        quotas: Counts what is sent for organisations.
-        limits: Counts what is sent to targets.
+        monitor: Detects which targets can be reached.
+        outcome_recorder: Updates the host's view of targets from outcomes.
+        work: Notifies other hosts of work sent to engines.
+        quarantine: Tracks requests during which targets crashed.
+        quotas: Charges what is sent on behalf of organisations.
+        limits: Charges what is sent to targets.
         announcements: Applies what targets announce.
     """
 
@@ -70,23 +74,23 @@
     announcements: announcement_keeper.AnnouncementKeeper
 
 
-class _Sending(NamedTuple):
-    """An attempt while it is under way.
+class _OngoingAttempt(NamedTuple):
+    """An attempt in progress.
 
     Attributes:
-        planned: What is sent, and where to.
-        attempt: It.
-        state: Of its target, from when it began.
-        first_byte: Notes its first byte.
-        sent_to: The start of the target that it reaches.
-        is_suspect: Targets may end under it.
+        planned: What is sent, and to which target.
+        attempt: The attempt itself.
+        state: The state of its target, as of when the attempt began.
+        first_byte: Records its first byte.
+        target_incarnation: The incarnation of the target that gets the request.
+        is_suspect: Whether the request is suspected of crashing targets.
     """
 
     planned: chooser_lib.PlannedAttempt
     attempt: attempt_lib.Attempt
     state: target_state.TargetState
     first_byte: learning.FirstByteRecorder
-    sent_to: quarantine_keeper.TargetIncarnation
+    target_incarnation: quarantine_keeper.TargetIncarnation
     is_suspect: bool
 
 
@@ -94,12 +98,14 @@
     """Makes the attempts of one request.
 
     Attributes:
+        context: Services and state that all jobs share.
+        site: The host's view of the site.
         request: The caller's request.
-        relay: Where events of answers go.
-        claim_retry: Charges the retry budget for an attempt after a planned
+        relay: Relays the events of answers to the caller.
+        reserve_retry: Charges the retry budget for an attempt after a planned
             one; returns whether there may be one.
-        sends: Attempts so far.
-        runs: Attempts that may have run.
+        attempts_made: Number of attempts made so far.
+        possible_runs: Number of attempts that may have run.
     """
 
     def __init__(
@@ -120,41 +126,41 @@
     async def send(
         self, planned: chooser_lib.PlannedAttempt, is_suspect: bool
     ) -> outcome_lib.Outcome:
-        """Makes an attempt; returns how it ended.
+        """Makes an attempt and returns its outcome.
 
         Args:
-            planned: What is sent, and where to.
-            is_suspect: Targets may end under it.
+            planned: What is sent, and to which target.
+            is_suspect: Whether the request is suspected of crashing targets.
         """
         name = planned.plan.target.name
         now = clock.now()
         if self.attempts_made == 0:
             self.site.budget(planned.pool.name).deposit(now)
         self.attempts_made += 1
-        number = f"{self.request.request_id}/{self.attempts_made}"
-        planned = planned._replace(attempt_id=number)
+        new_attempt_id = f"{self.request.request_id}/{self.attempts_made}"
+        planned = planned._replace(attempt_id=new_attempt_id)
         state = self.site.state(name)
         incarnation = self.site.targets.key_of(name)
         first_byte = learning.FirstByteRecorder(
             self.context.outcome_recorder, self.request, planned, state, now
         )
-        sending = _Sending(
+        ongoing = _OngoingAttempt(
             planned,
-            self._attempt(planned, state, incarnation),
+            self._create_attempt(planned, state, incarnation),
             state,
             first_byte,
             self.context.quarantine.incarnation_of(name),
             is_suspect,
         )
-        self._begin(sending)
+        self._begin(ongoing)
         result: outcome_lib.Outcome | None = None
         try:
-            result = await sending.attempt.run()
+            result = await ongoing.attempt.run()
             return result
         finally:
-            self._end(sending, result)
+            self._end(ongoing, result)
 
-    def _attempt(
+    def _create_attempt(
         self,
         planned: chooser_lib.PlannedAttempt,
         state: target_state.TargetState,
@@ -167,7 +173,7 @@
             self.request,
             planned.plan,
             self.relay,
-            self._most_idle(planned.pool),
+            self._max_idle_connections(planned.pool),
             attempt_lib.Callbacks(
                 lambda meaning: self._note_head(
                     planned, state, incarnation, meaning
@@ -176,57 +182,68 @@
             ),
         )
 
-    def _begin(self, sending: _Sending) -> None:
-        """Counts an attempt that is about to be sent."""
-        planned = sending.planned
+    def _begin(self, ongoing: _OngoingAttempt) -> None:
+        """Accounts for an attempt that is about to be sent."""
+        planned = ongoing.planned
         name = planned.plan.target.name
-        if sending.is_suspect:
+        if ongoing.is_suspect:
             self.context.chooser.suspect_attempts[name] += 1
-        sending.state.begin_attempt(
-            sending.first_byte.started,
+        ongoing.state.begin_attempt(
+            ongoing.first_byte.started,
             planned.attempt_id,
             planned.estimate.prefill_tokens,
         )
         self.context.quotas.charge(self.request)
         self.context.limits.charge(name)
-        self._tell(planned)
-        self.relay.on_first_event = sending.first_byte.record
+        self._announce_work(planned)
+        self.relay.on_first_event = ongoing.first_byte.record
 
     def _end(
-        self, sending: _Sending, result: outcome_lib.Outcome | None
+        self, ongoing: _OngoingAttempt, result: outcome_lib.Outcome | None
     ) -> None:
-        """Takes in how an attempt ended; None when nobody waited any more."""
-        attempt = sending.attempt
-        target = sending.planned.plan.target
-        may_have_run = attempt.sent and not isinstance(result, _NOT_RUN)
+        """Accounts for the end of an attempt.
+
+        Args:
+            ongoing: The attempt.
+            result: Its outcome; None if it was cancelled.
+        """
+        attempt = ongoing.attempt
+        target = ongoing.planned.plan.target
+        may_have_run = attempt.sent and not isinstance(
+            result, _NOT_RUN_OUTCOMES
+        )
         self.possible_runs += may_have_run
         if not may_have_run:
             self.context.quotas.refund_request(self.request)
         if not attempt.sent:
             self.context.limits.refund(target.name)
         if isinstance(result, outcome_lib.Whole):
-            sending.first_byte.record()
-        sending.first_byte.record_none()
-        # A trial of an ejected target has to tell before it ends.
+            ongoing.first_byte.record()
+        ongoing.first_byte.record_none()
+        # The trial of an ejected target must be judged before the state counts
+        # the attempt as ended.
         self.context.outcome_recorder.record_outcome(
-            attempt, sending.state, result, sending.first_byte.started
+            attempt, ongoing.state, result, ongoing.first_byte.started
         )
         self.context.quarantine.record_outcome(
-            self.request, sending.sent_to, result, attempt.closed_by_target
+            self.request,
+            ongoing.target_incarnation,
+            result,
+            attempt.closed_by_target,
         )
         if attempt.closed_by_target:
-            # Whether the target has ended decides what may follow.
+            # Whether the target has crashed decides how the request goes on.
             self.context.monitor.probe_now(target)
-        sending.state.end_attempt(sending.planned.attempt_id)
-        if sending.is_suspect:
+        ongoing.state.end_attempt(ongoing.planned.attempt_id)
+        if ongoing.is_suspect:
             self.context.chooser.note_suspect_ended(target.name)
 
-    def _most_idle(self, pool: objects.Pool) -> int:
-        """Returns how many connections to a target this host may keep."""
+    def _max_idle_connections(self, pool: objects.Pool) -> int:
+        """Returns how many idle connections to a target this host may keep."""
         if not pool.max_connections:
             return http1_client.MOST_IDLE
-        part = pool.max_connections * _IDLE_SHARE / self.site.hosts
-        return max(1, min(http1_client.MOST_IDLE, int(part)))
+        share = pool.max_connections * _IDLE_SHARE / self.site.hosts
+        return max(1, min(http1_client.MOST_IDLE, int(share)))
 
     def _note_head(
         self,
@@ -235,22 +252,23 @@
         incarnation: int,
         meaning: attempts.AnswerMeaning,
     ) -> None:
-        """Applies what an answer says of its target before its end.
+        """Applies announcements and limits from the head of an answer.
 
         Args:
             planned: The attempt.
-            state: Of the target, from when the attempt began.
+            state: The state of the target, as of when the attempt began.
             incarnation: Key of the target's incarnation at that time.
-            meaning: What the head of the answer says.
+            meaning: The decoded head of the answer.
         """
         name = planned.plan.target.name
         self.context.announcements.apply_answer(name, incarnation, meaning)
-        # One that has started again since has told nothing yet.
+        # If the target has restarted since, its new incarnation has named no
+        # limit yet.
         if self.site.states.get(name) is state:
             self.context.limits.apply_answer(name, meaning)
 
-    def _tell(self, planned: chooser_lib.PlannedAttempt) -> None:
-        """Notes and tells other hosts that an engine gets a prompt."""
+    def _announce_work(self, planned: chooser_lib.PlannedAttempt) -> None:
+        """Records that an engine gets a prompt, and notifies other hosts."""
         parts = self.request.prompt.parts
         if not parts:
             return
