--- a/hillthread/coordination/gateway/serving/__init__.py
+++ b/hillthread/coordination/gateway/serving/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway does with the requests of callers."""
+"""Serves the requests of callers: admission, routing, attempts, answers."""
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -1,4 +1,4 @@
-"""Serves requests: one job each, ended when nobody waits any more."""
+"""Runs one job for each request and cancels it after its deadline."""
 
 from __future__ import annotations
 
@@ -27,19 +27,20 @@
 
 __all__ = ["Dispatcher"]
 
-# Targets count a request's time from when they got it, and their last answers
-# are on the way when it is over: 20 ms between data centres, both ways, and the
-# opening of a connection. Callers whose own time is over have left by then.
-_LAST_ANSWER_S = 0.1
-# For a request that found no target within its time.
-_RETRY_S = 0.25
+# Time after the deadline in which a target's answer is still accepted. A target
+# counts the time from when it received the request, so its last answer arrives
+# later: by 20 ms between data centres, each way, and the time to open a
+# connection. A caller with a deadline of its own has disconnected by then.
+_LATE_ANSWER_GRACE_S = 0.1
+# Retry-After for a request that was cancelled before any target ran it.
+_NOT_RUN_RETRY_S = 0.25
 
 
-class _Cut(NamedTuple):
-    """What is told of a request that was cut and may have run.
+class _Cancellation(NamedTuple):
+    """The refusal of a request that was cancelled and may have run.
 
     Attributes:
-        code: The refusal's code.
+        code: The error code.
         status: The HTTP status.
         message: What happened.
         remedy: What the caller can do.
@@ -51,29 +52,30 @@
     remedy: str
 
 
-_LATE = _Cut(
+_DEADLINE_PASSED = _Cancellation(
     "deadline",
     504,
     "The request's deadline passed.",
     "Allow more time, or ask for a shorter answer.",
 )
-_STOPPED = _Cut(
+_HOST_STOPPED = _Cancellation(
     "stopping",
     502,
-    "The host ended before an answer came.",
+    "The host stopped before an answer arrived.",
     "It may have run: find out before sending it again.",
 )
 
 
 class Dispatcher:
-    """Carries requests to targets and answers back.
+    """Forwards requests to targets and relays their answers.
 
     Attributes:
+        monitor: Detects which targets can be reached.
         chooser: Chooses targets.
-        monitor: Finds out which targets can be reached.
-        tools: What all jobs share.
-        scopes: Of the jobs being served; cancelling one ends its attempts.
-        stopped: Whether all jobs were ended because the process ends.
+        context: Services and state that all jobs share.
+        cancel_scopes: Cancel scopes of the jobs being served; cancelling one
+            ends its attempts.
+        is_stopping: Whether all jobs were cancelled because the process ends.
     """
 
     def __init__(
@@ -90,7 +92,7 @@
         self.monitor = reach_monitor.ReachabilityMonitor(site, pool, tasks)
         self.monitor.on_reached = quarantine.record_target_reached
         self.monitor.on_refused = functools.partial(
-            quarantine.record_target_end, evidence="nobody listens there"
+            quarantine.record_target_end, evidence="the connection was refused"
         )
         self.chooser = chooser_lib.Chooser(site, pool, limits)
         self.context = sender_lib.JobContext(
@@ -107,66 +109,69 @@
             limits,
             announcement_keeper.AnnouncementKeeper(site, work, tasks),
         )
-        self.scopes: set[anyio.CancelScope] = set()
-        self.stopped = False
+        self.cancel_scopes: set[anyio.CancelScope] = set()
+        self.is_stopping = False
 
     def create_job(
         self,
         request: intake.GatewayRequest,
         answer: http1_server.CallerAnswer,
     ) -> job_lib.Job:
-        """Returns the job of a request, to be served."""
+        """Returns the job that serves a request; it is not started yet."""
         return job_lib.Job(self.context, request, answer)
 
     async def serve(self, job: job_lib.Job) -> None:
         """Answers a request.
 
         Raises:
-            RefusalError: It cannot be served; its run state is true.
-            BrokenAnswerError: Its answer has begun and cannot be completed.
+            RefusalError: It cannot be served; the error's run state tells
+                whether it has run.
+            BrokenAnswerError: Its answer was started and cannot be completed.
         """
-        answer_by = job.request.deadline + _LAST_ANSWER_S
-        with anyio.CancelScope(deadline=answer_by) as scope:
-            self.scopes.add(scope)
+        answer_deadline = job.request.deadline + _LATE_ANSWER_GRACE_S
+        with anyio.CancelScope(deadline=answer_deadline) as scope:
+            self.cancel_scopes.add(scope)
             try:
                 await job.run()
             finally:
-                self.scopes.discard(scope)
+                self.cancel_scopes.discard(scope)
         if scope.cancelled_caught:
-            self._note_cut(job)
+            self._log_cancellation(job)
         if job.answer.ended:
             return
         if job.answer.started:
             raise http1_server.BrokenAnswerError
         if job.last_answer is None:
-            raise self._unanswered(job.run_state())
-        # What is ready is delivered, also after the time.
+            raise self._cancellation_refusal(job.run_state())
+        # A complete answer is delivered even after the deadline.
         await job.relay_last_answer(job.last_answer)
 
     def cancel_all(self) -> None:
-        """Ends all jobs: their callers get final answers.
+        """Cancels all jobs and sends their callers final answers.
 
-        The process is about to be killed; after that nobody could tell them
-        whether their requests have run.
+        Called before the process is killed: afterwards nobody could tell the
+        callers whether their requests have run.
         """
-        self.stopped = True
-        for scope in self.scopes:
+        self.is_stopping = True
+        for scope in self.cancel_scopes:
             scope.cancel()
 
-    def _note_cut(self, job: job_lib.Job) -> None:
-        event = "stop_cut" if self.stopped else "deadline_passed"
+    def _log_cancellation(self, job: job_lib.Job) -> None:
+        event = "stop_cut" if self.is_stopping else "deadline_passed"
         job.request.log.warn(event, run=str(job.run_state()))
 
-    def _unanswered(self, run: errors.RunState) -> errors.RefusalError:
-        """Returns the answer to a request that was cut before one came."""
-        cut = _STOPPED if self.stopped else _LATE
+    def _cancellation_refusal(
+        self, run: errors.RunState
+    ) -> errors.RefusalError:
+        """Returns the refusal of a request cancelled before its answer."""
+        cancellation = _HOST_STOPPED if self.is_stopping else _DEADLINE_PASSED
         if run is not errors.RunState.NOT_RUN:
-            return errors.RefusalError(*cut, run)
+            return errors.RefusalError(*cancellation, run)
         return errors.RefusalError(
-            cut.code,
+            cancellation.code,
             503,
-            f"{cut.message} No target had taken the request.",
+            f"{cancellation.message} No target had accepted the request.",
             "Try again after the time in Retry-After.",
             run,
-            _RETRY_S,
+            _NOT_RUN_RETRY_S,
         )
--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -1,4 +1,4 @@
-"""The callers' application of the gateway."""
+"""Handles HTTP requests from callers."""
 
 from __future__ import annotations
 
@@ -29,22 +29,23 @@
 
 __all__ = ["Gateway"]
 
-_JSON = (b"content-type", b"application/json")
-# Another host may do better with what met a fault here.
-_INTERNAL_RETRY_S = 0.1
+_JSON_HEADER = (b"content-type", b"application/json")
+# Another host may serve a request that hit an internal error on this one.
+_INTERNAL_ERROR_RETRY_S = 0.1
 
 _logger = logging.getLogger("hillthread.request")
 
 
 class Gateway:
-    """Serves callers.
+    """Admits, dispatches and answers the requests of callers.
 
     Attributes:
-        site: The host's beliefs.
-        metrics: What is counted.
-        dispatcher: Carries requests to targets.
-        quotas: Refuses what organisations ask beyond their quota.
-        inflight: Requests being served.
+        site: The host's view of the site.
+        metrics: The gateway's metrics.
+        dispatcher: Forwards requests to targets.
+        quotas: Refuses requests that exceed an organisation's quota.
+        sampler: Limits how many requests are logged each second.
+        inflight: Number of requests being served.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
             site, metrics, pool, tasks, work, quarantine, quotas, limits
         )
         self.quotas = quotas
-        self.samples = story_lib.RequestSampler(
+        self.sampler = story_lib.RequestSampler(
             site.settings.log_requests_per_s
         )
         self.inflight = 0
@@ -77,11 +78,11 @@
         """Serves one request.
 
         Raises:
-            BrokenAnswerError: Its answer has begun and cannot be completed.
+            BrokenAnswerError: Its answer was started and cannot be completed.
         """
         request_id = _request_id(caller)
-        self.samples.hosts = self.site.hosts
-        log = story_lib.RequestLog(request_id, self.samples)
+        self.sampler.hosts = self.site.hosts
+        log = story_lib.RequestLog(request_id, self.sampler)
         self.inflight += 1
         self.metrics.inflight.set(self.inflight)
         outcome = "left"
@@ -106,12 +107,12 @@
             log.warn("answer_broken")
             raise
         except http1.ConnectionLostError:
-            pass  # told below
+            pass  # the caller left; logged in the finally block
         except Exception:
             outcome, code = "refused", "internal"
             _logger.exception("internal error", extra={"request": request_id})
             run = job.run_state() if job else errors.RunState.NOT_RUN
-            await self._refuse(_internal(run), answer, log)
+            await self._refuse(_internal_error(run), answer, log)
         finally:
             self.inflight -= 1
             self.metrics.inflight.set(self.inflight)
@@ -124,13 +125,13 @@
             log.close()
 
     def note_caller_left(self, caller: http1_server.CallerRequest) -> None:
-        """Notes a request whose caller left before it was served."""
+        """Counts and logs a request whose caller left before it was served."""
         self.metrics.requests.labels("left", "").inc()
-        log = story_lib.RequestLog(_request_id(caller), self.samples)
+        log = story_lib.RequestLog(_request_id(caller), self.sampler)
         log.warn("requester_left", seconds=0.0, served=False)
 
     def note_bad_request(self, status: int, reason: str) -> None:
-        """Notes a request that could not be read."""
+        """Counts and logs a request that could not be read."""
         self.metrics.bad_requests.labels(str(status)).inc()
         _logger.info(
             "request could not be read",
@@ -167,13 +168,13 @@
         log: story_lib.RequestLog,
         priority: int = 0,
     ) -> None:
-        after_s = _return_after_s(refusal, priority)
+        retry_delay_s = _choose_retry_after_s(refusal, priority)
         log.warn(
             "refused",
             code=refusal.code,
             status=refusal.status,
             run=str(refusal.run),
-            retry_after_s=after_s,
+            retry_after_s=retry_delay_s,
             reason=refusal.message,
             started=answer.started,
             store_age_s=self.site.told_age_s(clock.now()),
@@ -181,12 +182,13 @@
         if answer.started:
             raise http1_server.BrokenAnswerError
         headers: http1.Headers = [
-            _JSON,
+            _JSON_HEADER,
             (names.REQUEST_ID, log.request_id.encode("latin-1")),
         ]
-        if after_s is not None:
-            headers.append((names.RETRY_AFTER, b"%.3f" % after_s))
-        # On a new connection the balancer chooses a host that is ready.
+        if retry_delay_s is not None:
+            headers.append((names.RETRY_AFTER, b"%.3f" % retry_delay_s))
+        # Makes the caller reconnect, so that the load balancer chooses a host
+        # that is ready.
         answer.closes = refusal.code == intake.NOT_READY
         body = {
             "error": {
@@ -205,29 +207,29 @@
     return caller.get(names.REQUEST_ID).decode("latin-1")
 
 
-def _return_after_s(
+def _choose_retry_after_s(
     refusal: errors.RefusalError, priority: int
 ) -> float | None:
-    """Returns after how long the caller should come back, if it helps."""
-    least_s = refusal.retry_after_s
-    if least_s is None:
+    """Returns when the caller should retry; None if a retry cannot help."""
+    min_delay_s = refusal.retry_after_s
+    if min_delay_s is None:
         return None
-    after_s = return_time.staggered_retry_after_s(
-        least_s, priority, random.random()
+    retry_delay_s = return_time.staggered_retry_after_s(
+        min_delay_s, priority, random.random()
     )
-    return round(after_s, 3)
+    return round(retry_delay_s, 3)
 
 
-def _internal(run: errors.RunState) -> errors.RefusalError:
-    """Returns the answer to a request that met a fault of the gateway."""
+def _internal_error(run: errors.RunState) -> errors.RefusalError:
+    """Returns the refusal of a request that hit an error in the gateway."""
     if run is errors.RunState.NOT_RUN:
         return errors.RefusalError(
             "internal",
             503,
-            "The gateway failed before any target had the request.",
+            "The gateway failed before any target received the request.",
             "Try again; if it fails again, report it with the request id.",
             run,
-            _INTERNAL_RETRY_S,
+            _INTERNAL_ERROR_RETRY_S,
         )
     return errors.RefusalError(
         "internal",
