--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of attempts, retries, resumes and the truth of refusals."""
+"""Tests of attempts, retries, resumed streams and run states of refusals."""
 
 import collections
 import socket
@@ -31,7 +31,7 @@
 
         scene_lib.play(story, plain=1)
 
-    def test_answer_passes_unchanged_and_key_stays_here(self):
+    def test_answer_is_relayed_unchanged_and_key_is_removed(self):
         async def story(scene):
             request = scene.request("/once/x?q=1", x_kept="yes", x_hold="no")
             answer = await scene.call(request)
@@ -69,7 +69,7 @@
 
                 scene_lib.play(story)
 
-    def test_request_that_was_refused_goes_elsewhere(self):
+    def test_refused_request_is_sent_to_another_target(self):
         async def story(scene):
             for target in scene.plain:
                 target.behave(standin.Refuse())
@@ -84,7 +84,7 @@
 
         scene_lib.play(story)
 
-    def test_unreachable_target_is_passed_over(self):
+    def test_unreachable_target_is_skipped(self):
         async def story(scene):
             with socket.socket() as unused:
                 unused.bind(("127.0.0.1", 0))
@@ -98,7 +98,7 @@
 
         scene_lib.play(story)
 
-    def test_idempotent_request_is_repeated_elsewhere(self):
+    def test_idempotent_request_is_retried_on_another_target(self):
         for behaviour in (
             standin.Vanish(),
             standin.Fail(),
@@ -132,7 +132,7 @@
 
         scene_lib.play(story)
 
-    def test_unframed_answer_is_whole_when_its_connection_ends(self):
+    def test_unframed_answer_is_complete_when_its_connection_ends(self):
         async def story(scene):
             for target in scene.plain:
                 target.behave(standin.Unframed())
@@ -142,7 +142,7 @@
 
         scene_lib.play(story)
 
-    def test_surplus_answer_reaches_nobody(self):
+    def test_surplus_answer_is_never_relayed(self):
         for delay_s in (0.0, 0.03):
             with self.subTest(delay_s=delay_s):
 
@@ -157,7 +157,7 @@
 
                 scene_lib.play(story)
 
-    def test_deadline_ends_in_a_true_final_answer(self):
+    def test_deadline_gives_a_final_answer_with_the_run_state(self):
         async def story(scene):
             for target in scene.plain:
                 target.always = standin.Hang()
@@ -172,8 +172,8 @@
 
         scene_lib.play(story)
 
-    def test_answer_that_is_whole_when_the_time_is_over_is_passed_on(self):
-        """The time ends while a whole answer is written to the caller."""
+    def test_complete_answer_is_relayed_after_the_deadline(self):
+        """The deadline passes while an answer is written to the caller."""
         send_whole = http1_server.CallerAnswer.send_whole
 
         async def write_slowly(answer, status, headers, body):
@@ -182,7 +182,8 @@
             await send_whole(answer, status, headers, body)
 
         async def story(scene):
-            # Tells the gateway's answer from the target's, which is the same.
+            # A stopping server closes its connections, which distinguishes the
+            # gateway's answer from the target's identical one.
             scene.program.server.stopping = True
             with mock.patch.object(
                 http1_server.CallerAnswer, "send_whole", write_slowly
@@ -195,8 +196,8 @@
 
         scene_lib.play(story)
 
-    def test_target_that_ends_on_time_may_still_say_so(self):
-        """Its time began later than the gateway's, by the way to it."""
+    def test_answer_that_arrives_just_after_the_deadline_is_relayed(self):
+        """A target's time starts when the request reaches it."""
 
         async def story(scene):
             for target in scene.plain:
@@ -208,7 +209,7 @@
 
         scene_lib.play(story)
 
-    def test_failure_is_passed_on_when_a_later_run_brings_nothing(self):
+    def test_failure_is_relayed_when_a_later_attempt_brings_no_answer(self):
         for later in (standin.Hang(), standin.Vanish(), standin.Refuse()):
             with self.subTest(later=later):
 
@@ -224,43 +225,43 @@
 
                 scene_lib.play(story)
 
-    def test_failure_is_passed_on_when_keys_can_no_longer_be_checked(self):
+    def test_failure_is_relayed_when_keys_can_no_longer_be_checked(self):
         async def story(scene):
             for target in scene.plain:
                 target.always = standin.Fail(500)
-                whole = target._run
+                run_target = target._run
 
-                async def lose_store(*arguments, whole=whole):
+                async def lose_store_and_run(*arguments, run_target=run_target):
                     scene.site.freshness.known_until -= 60.0
-                    await whole(*arguments)
+                    await run_target(*arguments)
 
-                target._run = lose_store
+                target._run = lose_store_and_run
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 500)
             self.assertTrue(answer.head.get(b"x-response-stamp"))
 
         scene_lib.play(story)
 
-    def test_run_that_was_lost_is_not_told_as_not_run(self):
-        """The store is lost after the first run: that run stays unknown."""
+    def test_lost_run_is_not_reported_as_not_run(self):
+        """The store is lost after a run whose outcome is unknown."""
 
         async def story(scene):
             for target in scene.plain:
                 target.always = standin.Vanish()
                 run = target._run
 
-                async def lose_store(*arguments, run=run):
+                async def lose_store_and_run(*arguments, run=run):
                     scene.site.freshness.known_until -= 60.0
                     await run(*arguments)
 
-                target._run = lose_store
+                target._run = lose_store_and_run
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 502)
             self.assertIn(b'"run":"unknown"', answer.body)
 
         scene_lib.play(story)
 
-    def test_failure_ends_the_request_when_the_budget_is_spent(self):
+    def test_failure_is_relayed_when_the_retry_budget_is_exhausted(self):
         async def story(scene):
             shared = collections.deque([standin.Fail(500), standin.Refuse()])
             for target in scene.plain:
@@ -275,7 +276,7 @@
 
         scene_lib.play(story, plain=3)
 
-    def test_request_that_no_target_was_offered_is_refused_as_not_run(self):
+    def test_request_that_reached_no_target_is_refused_as_not_run(self):
         async def story(scene):
             with socket.socket() as peer:
                 peer.bind(("127.0.0.1", 0))
@@ -293,7 +294,7 @@
         scene_lib.play(story)
 
     async def list_only(self, scene, address):
-        """Leaves one target of the plain service, at an address."""
+        """Lists just one target of the plain service, at the given address."""
         entry = {**scene.plain[0].entry(), "address": address}
         scene.store.put("keyed.servers", "only", entry)
         for target in scene.plain:
@@ -303,7 +304,7 @@
             lambda: "only" in known and not {"p0", "p1"} & set(known)
         )
 
-    def test_fault_of_the_gateway_tells_whether_the_request_has_run(self):
+    def test_internal_error_tells_whether_the_request_has_run(self):
         async def story(scene):
             dispatcher = scene.program.gateway.dispatcher
             fault = RuntimeError("a fault")
@@ -323,7 +324,7 @@
 
         scene_lib.play(story)
 
-    def test_refusal_that_breaks_off_is_still_one(self):
+    def test_refusal_with_a_cut_off_body_is_still_a_refusal(self):
         async def story(scene):
             scene.plain[0].always = standin.Refuse(cut=True)
             scene.plain[1].always = standin.Refuse(cut=True)
@@ -344,7 +345,7 @@
 
         scene_lib.play(story)
 
-    def test_target_is_told_the_time_that_is_left_when_it_is_sent(self):
+    def test_deadline_header_has_the_time_left_when_the_request_is_sent(self):
         async def story(scene):
             pool = scene.program.pool
             take = pool.take
@@ -361,7 +362,7 @@
 
         scene_lib.play(story)
 
-    def test_target_is_told_at_once_when_the_caller_leaves(self):
+    def test_connection_to_the_target_is_closed_when_the_caller_leaves(self):
         async def story(scene):
             for target in scene.plain:
                 target.always = standin.Hang()
@@ -373,7 +374,7 @@
 
         scene_lib.play(story)
 
-    def test_retries_end_with_the_budget(self):
+    def test_retries_stop_when_the_budget_is_exhausted(self):
         async def story(scene):
             for target in scene.plain:
                 target.always = standin.Fail()
@@ -382,14 +383,15 @@
                 await scene.call(scene.request("/again/x"))
                 for target in scene.plain:
                     scene.site.state(target.name).record_success()
-            # 40 requests, a fifth of them, and this host's part of the extra.
+            # 40 requests, a fifth of them as retries, and this host's share of
+            # the extra budget.
             self.assertLessEqual(len(scene.runs()), 40 + 8 + 50 / 8)
 
         scene_lib.play(story)
 
 
 class StreamTest(unittest.TestCase):
-    def test_stream_passes_whole(self):
+    def test_stream_is_relayed_completely(self):
         async def story(scene):
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
@@ -399,7 +401,7 @@
 
         scene_lib.play(story)
 
-    def test_stream_goes_on_elsewhere_within_one_answer(self):
+    def test_stream_is_resumed_on_another_engine_within_one_answer(self):
         async def story(scene):
             for engine in scene.engines:
                 engine.events = 6
@@ -416,7 +418,7 @@
 
         scene_lib.play(story)
 
-    def test_stream_that_cannot_go_on_is_never_ended_cleanly(self):
+    def test_stream_that_cannot_be_resumed_is_never_ended_cleanly(self):
         async def story(scene):
             for engine in scene.engines:
                 engine.always = standin.Cut(2)
@@ -437,7 +439,7 @@
         scene_lib.play(story, engines=3)
 
     def test_prompt_that_would_wait_longer_than_its_aim_is_refused(self):
-        """It is told to return when what other hosts sent is read."""
+        """Retry-After covers the time to read what other hosts sent."""
 
         async def story(scene):
             now = time.monotonic()
@@ -453,7 +455,7 @@
             after_s = float(answer.head.get(b"retry-after"))
             self.assertGreater(after_s, 0.8)
             self.assertEqual(scene.runs(), [])
-            # Plain requests and prompts that come later are served.
+            # Plain requests and later prompts are served.
             plain = await scene.call(scene.request("/again/x"))
             self.assertEqual(plain.head.status, 200)
             await anyio.sleep(now + 1.0 - time.monotonic())
@@ -462,7 +464,7 @@
 
         scene_lib.play(story)
 
-    def test_salt_parts_isolated_tenants(self):
+    def test_cache_salt_separates_isolated_tenants(self):
         async def story(scene):
             await scene.call(scene.prompt("/stream/x"))
             await scene.call(
--- a/tests/coordination/gateway/serving/test_explaining.py
+++ b/tests/coordination/gateway/serving/test_explaining.py
@@ -1,4 +1,4 @@
-"""Tests that failures can be explained from logs alone."""
+"""Tests that `hillthread-ctl explain` explains failures from logs alone."""
 
 import contextlib
 import io
@@ -47,15 +47,15 @@
             request = scene.request("/once/x")
             answer = await scene.call(request)
             self.assertEqual(answer.head.status, 503)
-            told = self.explain(request)
-            self.assertIn("Cause: targets refused it: p", told)
-            self.assertIn("p0 (503)", told)
-            self.assertIn("p1 (503)", told)
-            self.assertIn("run: not_run", told)
+            explanation = self.explain(request)
+            self.assertIn("Cause: targets refused it: p", explanation)
+            self.assertIn("p0 (503)", explanation)
+            self.assertIn("p1 (503)", explanation)
+            self.assertIn("run: not_run", explanation)
 
         scene_lib.play(story)
 
-    def test_refused_since_all_targets_are_limited(self):
+    def test_refused_because_all_targets_are_limited(self):
         async def story(scene):
             for target in scene.plain:
                 target.limit_per_s = 1.0
@@ -64,11 +64,13 @@
                 request = scene.request("/once/x")
                 answer = await scene.call(request)
             self.assertEqual(answer.head.status, 503)
-            told = self.explain(request)
-            self.assertIn("refused with 503 targets_limited", told)
-            self.assertIn("run: not_run", told)
-            self.assertIn("Cause: 2 targets could take the request", told)
-            self.assertIn("p0 limited", told)
+            explanation = self.explain(request)
+            self.assertIn("refused with 503 targets_limited", explanation)
+            self.assertIn("run: not_run", explanation)
+            self.assertIn(
+                "Cause: 2 targets could take the request", explanation
+            )
+            self.assertIn("p0 limited", explanation)
             self.handler.flush()
             lines = self.path.read_text()
             self.assertIn('"event":"target_limited"', lines)
@@ -76,20 +78,20 @@
 
         scene_lib.play(story)
 
-    def test_what_a_target_announced_is_told(self):
+    def test_announcements_of_a_target_are_explained(self):
         async def story(scene):
             for target in scene.plain:
                 target.backoff_s = 2.0
                 target.announces_leaving = True
             request = scene.request("/once/x")
             await scene.call(request)
-            told = self.explain(request)
-            self.assertIn("the target announced that it leaves", told)
-            self.assertIn("the target asked for 2.0 s of back-off", told)
+            explanation = self.explain(request)
+            self.assertIn("the target announced that it leaves", explanation)
+            self.assertIn("the target asked for 2.0 s of back-off", explanation)
 
         scene_lib.play(story)
 
-    def test_refused_since_a_quota_is_used_up(self):
+    def test_refused_because_a_quota_is_exhausted(self):
         async def story(scene):
             quota = {"ratePerS": 100, "burst": 100, "unit": "token_stream"}
             first, second = scene.configuration["tenants"]
@@ -101,12 +103,12 @@
                 request = scene.prompt("/stream/x", **tokens)
                 answer = await scene.call(request)
             self.assertEqual(answer.head.status, 429)
-            told = self.explain(request)
-            self.assertIn("refused with 429 quota_exceeded", told)
-            self.assertIn("run: not_run", told)
+            explanation = self.explain(request)
+            self.assertIn("refused with 429 quota_exceeded", explanation)
+            self.assertIn("run: not_run", explanation)
             self.assertIn(
                 "Cause: tenant-one has used its quota of 100 tokens a second",
-                told,
+                explanation,
             )
             self.handler.flush()
             self.assertIn('"event":"quota_spent"', self.path.read_text())
@@ -115,7 +117,7 @@
 
         scene_lib.play(story)
 
-    def test_cut_in_mid_stream_by_a_crash(self):
+    def test_stream_cut_off_by_a_crash(self):
         async def story(scene):
             for engine in scene.engines:
                 engine.always = standin.Cut(2)
@@ -124,15 +126,15 @@
                 await scene.call(request)
             await anyio.sleep(0.05)
             ran = next(e.name for e in scene.engines if e.runs)
-            told = self.explain(request)
-            self.assertIn(f"target {ran} failed (answer", told)
-            self.assertIn("because its route is not resumable", told)
-            story = json.loads(self.explain(request, json=True))
-            self.assertEqual(story["missing"], [])
+            explanation = self.explain(request)
+            self.assertIn(f"target {ran} failed (answer", explanation)
+            self.assertIn("because its route is not resumable", explanation)
+            document = json.loads(self.explain(request, json=True))
+            self.assertEqual(document["missing"], [])
 
         scene_lib.play(story)
 
-    def test_start_on_old_weights_tells_what_was_named_since_when(self):
+    def test_choice_of_old_weights_logs_the_newer_version_and_its_age(self):
         async def story(scene):
             scene.engines[0].order_status = 409
             scene.name_weights(3)
@@ -142,14 +144,16 @@
             await scene.call(request)
             self.handler.flush()
             lines = map(json.loads, self.path.read_text().splitlines())
-            (told,) = [
+            (old_weights,) = [
                 line["old_weights"]
                 for line in lines
                 if line.get("event") == "target_chosen"
             ]
-            self.assertEqual((told["held"], told["newer"]), (1, 3))
-            self.assertEqual(told["grace"], "free")
-            self.assertLess(told["age_s"], 1.3)
+            self.assertEqual(
+                (old_weights["held"], old_weights["newer"]), (1, 3)
+            )
+            self.assertEqual(old_weights["grace"], "free")
+            self.assertLess(old_weights["age_s"], 1.3)
             self.assertIn(
                 b'old_weights_choices_total{grace="free"} 1.0',
                 scene.program.metrics.page(),
@@ -160,7 +164,7 @@
 
         scene_lib.play(story, engines=1)
 
-    def test_end_of_a_load_is_told(self):
+    def test_end_of_a_weights_load_is_logged(self):
         async def story(scene):
             scene.name_weights(2)
             await scene.until(lambda: scene.engines[0].weights == 2)
@@ -183,23 +187,23 @@
             request = scene.request("/again/x")
             answer = await scene.call(request)
             self.assertEqual(answer.head.status, 500)
-            told = self.explain(request)
-            self.assertIn("answered whole with status 500", told)
-            self.assertIn("Cause: targets ran it and failed: p", told)
-            self.assertIn("p0 (500)", told)
-            self.assertIn("p1 (500)", told)
+            explanation = self.explain(request)
+            self.assertIn("answered whole with status 500", explanation)
+            self.assertIn("Cause: targets ran it and failed: p", explanation)
+            self.assertIn("p0 (500)", explanation)
+            self.assertIn("p1 (500)", explanation)
 
         scene_lib.play(story)
 
-    def test_story_tells_where_cached_prefixes_came_from(self):
+    def test_explanation_names_the_source_of_cached_prefixes(self):
         async def story(scene):
             (store,) = await scene_lib.keep_caches(scene, 1)
             for engine in scene.engines:
                 engine.behave(standin.Refuse())
             request = scene.prompt("/stream/x")
             await scene.call(request)
-            told = self.explain(request)
-            self.assertIn(f"cache {store.address}, saved there", told)
+            explanation = self.explain(request)
+            self.assertIn(f"cache {store.address}, saved there", explanation)
 
         scene_lib.play(story)
 
@@ -214,28 +218,28 @@
             request = scene.request("/once/x")
             answer = await scene.call(request)
             self.assertEqual(answer.head.status, 503)
-            told = self.explain(request)
-            self.assertIn("lost the store and cannot check keys", told)
-            self.assertRegex(told, r"the store was lost \d\.\d s before")
+            explanation = self.explain(request)
+            self.assertIn("lost the store and cannot check keys", explanation)
+            self.assertRegex(explanation, r"the store was lost \d\.\d s before")
 
         scene_lib.play(story, revoke_ms=1600)
 
-    def test_refused_before_anything_was_read(self):
-        """An age that is not known yet must not make the line unreadable."""
+    def test_refused_before_the_configuration_was_read(self):
+        """An unknown age of the store must not produce invalid JSON."""
 
         async def story(scene):
             scene.site.started_at -= 1.0
             request = scene.request("/once/x")
             answer = await scene.call(request)
             self.assertEqual(answer.head.status, 503)
-            told = self.explain(request)
-            self.assertIn("does not know the configuration yet", told)
+            explanation = self.explain(request)
+            self.assertIn("does not know the configuration yet", explanation)
             self.handler.flush()
             self.assertNotIn("Infinity", self.path.read_text())
 
         scene_lib.play(story, ready=False, slow_s=5.0)
 
-    def test_every_refusal_has_its_line(self):
+    def test_every_refusal_is_logged(self):
         async def story(scene):
             requests = [
                 scene.request("/none/x"),
@@ -263,8 +267,8 @@
             ctl.Ctl().explain("none", logs="/nonexistent/file")
 
 
-class StuffedOutputTest(unittest.TestCase):
-    def test_stuffed_output_delays_no_request(self):
+class BlockedOutputTest(unittest.TestCase):
+    def test_blocked_log_output_delays_no_request(self):
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
--- a/tests/coordination/gateway/serving/test_kept_connections.py
+++ b/tests/coordination/gateway/serving/test_kept_connections.py
@@ -1,9 +1,8 @@
-"""Tests that hosts together keep no more connections than a target takes.
+"""Tests that idle connections of all hosts leave room for those in use.
 
-A target takes so many connections from all hosts together and resets further
-ones, also those that carry requests. Hosts kept up to 64 each for later use,
-whatever their number: found while looking for what else all hosts together may
-do only so much of.
+A target accepts a maximum number of connections from all hosts together and
+resets further ones, including those that carry requests. Guards against a limit
+on idle connections that ignores the number of hosts: 64 on each.
 """
 
 import unittest
@@ -14,12 +13,12 @@
 from tests.coordination.gateway.serving import test_quota
 from tests.coordination.gateway.serving import test_target_limits
 
-MOST = 12
-AT_ONCE = 8
+MAX_CONNECTIONS = 12
+REQUESTS_PER_HOST = 8
 
 
-def idle_at(programs, target):
-    """Returns how many connections all hosts keep to a target."""
+def count_idle_connections(programs, target):
+    """Returns how many idle connections all hosts keep to a target."""
     return sum(
         len(program.pool.idle.get(target.address, ())) for program in programs
     )
@@ -29,7 +28,7 @@
     def test_all_hosts_leave_room_for_connections_in_use(self):
         async def story(scene):
             services = [
-                service | {"maxConnections": MOST}
+                service | {"maxConnections": MAX_CONNECTIONS}
                 for service in scene.configuration["services"]
             ]
             scene.configure(services=services)
@@ -46,7 +45,7 @@
             target.always = scene_lib.platform_target.Held(released)
             async with anyio.create_task_group() as callers:
                 for program in programs:
-                    for _ in range(AT_ONCE):
+                    for _ in range(REQUESTS_PER_HOST):
                         callers.start_soon(
                             test_quota.ask,
                             scene,
@@ -54,12 +53,16 @@
                             scene.request("/once/x"),
                         )
                 await scene.until(
-                    lambda: len(target.runs) == AT_ONCE * len(programs)
+                    lambda: (
+                        len(target.runs) == REQUESTS_PER_HOST * len(programs)
+                    )
                 )
                 released.set()
-            await scene.until(lambda: idle_at(programs, target))
+            await scene.until(lambda: count_idle_connections(programs, target))
             await anyio.sleep(0.1)
-            self.assertLessEqual(idle_at(programs, target), MOST / 2)
+            self.assertLessEqual(
+                count_idle_connections(programs, target), MAX_CONNECTIONS / 2
+            )
 
         scene_lib.play(story, plain=1)
 
--- a/tests/coordination/gateway/serving/test_silent_connections.py
+++ b/tests/coordination/gateway/serving/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections that fall silent for good while new ones work."""
+"""Tests of connections that become silent for good while new ones work."""
 
 import contextlib
 import socket
@@ -15,7 +15,9 @@
 
 
 class StoreConnectionsTest(unittest.TestCase):
-    def test_reads_go_on_over_new_connections_and_the_store_is_not_lost(self):
+    def test_reads_continue_over_new_connections_and_the_store_is_not_lost(
+        self,
+    ):
         async def story(scene):
             lost = []
             scene.program.readers.watch.lost = lost.append
@@ -36,7 +38,7 @@
 
         scene_lib.play(story, linked=True, revoke_ms=3000)
 
-    def test_store_that_is_silent_over_new_connections_too_is_lost(self):
+    def test_store_that_is_also_silent_over_new_connections_is_lost(self):
         async def story(scene):
             lost = []
             scene.program.readers.watch.lost = lost.append
@@ -47,7 +49,7 @@
         scene_lib.play(story, linked=True, revoke_ms=1800)
 
     def test_kernel_finds_silent_connections_with_one_probe(self):
-        """On a real link nothing acknowledges the probe."""
+        """Checks socket options, because loopback acknowledges every probe."""
 
         async def story(scene):
             pools = (scene.program.store.pool, scene.program.readers.peers)
@@ -67,12 +69,12 @@
 
 
 class TargetConnectionsTest(unittest.TestCase):
-    """The kernel acknowledges on loopback: what it would tell is replaced."""
+    """Fakes the kernel's count, because loopback acknowledges all data."""
 
     def test_request_on_a_silent_connection_is_repeated_over_new_ones(self):
         async def story(scene):
             links = await link_targets(scene)
-            await warm_up(scene, links)
+            await open_idle_connections(scene, links)
             runs = len(scene.runs())
             with silenced(links):
                 began_at = time.monotonic()
@@ -86,7 +88,7 @@
     def test_request_that_may_have_run_is_not_repeated(self):
         async def story(scene):
             links = await link_targets(scene)
-            await warm_up(scene, links)
+            await open_idle_connections(scene, links)
             runs = len(scene.runs())
             with silenced(links):
                 first = scene.request("/once/x", x_deadline_ms="1200")
@@ -96,10 +98,10 @@
 
         scene_lib.play(story)
 
-    def test_one_silent_connection_makes_those_that_rested_suspect(self):
+    def test_one_silent_connection_makes_idle_ones_suspect(self):
         async def story(scene):
             links = await link_targets(scene)
-            await warm_up(scene, links)
+            await open_idle_connections(scene, links)
             with silenced(links):
                 first = scene.request("/once/x", x_deadline_ms="900")
                 async with anyio.create_task_group() as tasks:
@@ -115,7 +117,7 @@
     def test_silent_connections_eject_no_target(self):
         async def story(scene):
             links = await link_targets(scene)
-            await warm_up(scene, links)
+            await open_idle_connections(scene, links)
             scene.site.budget("plain").extra = 50.0
             statuses = []
 
@@ -131,12 +133,12 @@
 
         scene_lib.play(story)
 
-    def test_target_that_acknowledged_and_is_slow_is_left_alone(self):
+    def test_slow_target_that_acknowledged_is_not_given_up(self):
         async def story(scene):
             for target in scene.plain:
                 target.always = platform_target.Serve(0.9)
             links = await link_targets(scene)
-            await warm_up(scene, links)
+            await open_idle_connections(scene, links)
             runs = len(scene.runs())
             opened = scene.program.pool.opened["suspect"]
             answer = await scene.call(scene.request("/again/x"))
@@ -148,7 +150,7 @@
 
 
 class CacheConnectionsTest(unittest.TestCase):
-    def test_contents_are_kept_while_a_new_connection_goes_on(self):
+    def test_cache_contents_are_kept_while_reconnecting(self):
         async def story(scene):
             cache = platform_target.PlatformTargetStandin("k0", "keep0")
             cache.cache_events = [
@@ -178,7 +180,7 @@
 
         scene_lib.play(story, engines=1)
 
-    def test_cache_that_is_gone_is_forgotten(self):
+    def test_cache_contents_are_dropped_when_the_cache_is_gone(self):
         async def story(scene):
             (cache,) = await scene_lib.keep_caches(scene, 1)
             caches = (
@@ -193,7 +195,7 @@
 
 
 async def link_targets(scene):
-    """Puts a link between the gateway and each plain target; returns them."""
+    """Puts a proxy between the gateway and each plain target; returns them."""
     links = []
     for target in scene.plain:
         link = wire_proxy.WireProxy(target.address)
@@ -211,8 +213,8 @@
     return links
 
 
-async def warm_up(scene, links):
-    """Has kept connections to all plain targets, two or more each."""
+async def open_idle_connections(scene, links):
+    """Sends requests until each plain target has two idle connections."""
     idle = scene.program.pool.idle
     while any(len(idle.get(link.address, ())) < 2 for link in links):
         async with anyio.create_task_group() as tasks:
@@ -222,7 +224,10 @@
 
 @contextlib.contextmanager
 def silenced(links):
-    """Silences open connections, and has the kernel tell what it then would."""
+    """Silences open connections, and fakes what the kernel would then report.
+
+    Connections opened while they are silent work.
+    """
     ports = set()
     for link in links:
         for stream in link.connections:
@@ -231,7 +236,7 @@
         link.silence()
 
     def unacknowledged(connection):
-        """Returns what was sent since, for connections that are silent."""
+        """Returns all bytes sent if the connection is silent, otherwise 0."""
         raw = connection.stream.raw
         is_silent = raw.fileno() >= 0 and raw.getsockname()[1] in ports
         return connection.sent_bytes if is_silent else 0
