--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -149,7 +149,7 @@
         version = self.site.weights.held_version(target.name, model) or 0
         if loading:
             version = self._newest_version(model)
-        self.work.tell_weights(
+        self.work.notify_weights(
             work_notice.WeightsNotice(
                 target_list.incarnation_key(target.name, born_ms),
                 model,
--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -90,9 +90,9 @@
         self.site = site
         self.source = source
         self.gatherer = gatherer.GathererSelector(source)
-        self.told = 0
-        self.heard = 0
-        self.heard_of_suspects: Callable[[work_notice.SuspectNotice], None] = (
+        self.sent_packets = 0
+        self.received_packets = 0
+        self.apply_suspect: Callable[[work_notice.SuspectNotice], None] = (
             _ignore
         )
         self.apply_limit: Callable[[work_notice.LimitNotice], None] = _ignore
@@ -100,7 +100,7 @@
             _ignore
         )
         self.usage: usage_exchange.UsageExchange | None = None
-        self.heard_of_usage: Callable[[dict[int, float]], None] = _ignore
+        self.apply_usage: Callable[[dict[int, float]], None] = _ignore
         self._origin = work_notice.checksum(source.name)
         now = clock.now()
         self._direct = limits.TokenBucket(_DIRECT_PER_S / site.hosts, now)
@@ -114,13 +114,13 @@
         self._gathered = anyio.Event()
         self._socket: socket.socket | None = None
 
-    def is_alone(self) -> bool:
+    def has_no_peers(self) -> bool:
         """Returns whether there is nobody to tell anything."""
         return len(self.source.hosts) < 2
 
-    def tell(self, notice: work_notice.WorkNotice) -> None:
+    def notify_work(self, notice: work_notice.WorkNotice) -> None:
         """Has other hosts told of much work."""
-        if notice.tokens < _LEAST_TOKENS or self.is_alone():
+        if notice.tokens < _LEAST_TOKENS or self.has_no_peers():
             return
         now = clock.now()
         notice = notice._replace(origin=self._origin)
@@ -129,19 +129,19 @@
         else:
             self._tell_directly([notice])
 
-    def tell_weights(self, notice: work_notice.WeightsNotice) -> None:
+    def notify_weights(self, notice: work_notice.WeightsNotice) -> None:
         """Notes and tells what becomes of an engine's weights.
 
         Many engines load at once: what is told of them goes in one packet.
         """
         self.site.take_weights_notice(notice, clock.now())
-        if not self.is_alone():
+        if not self.has_no_peers():
             self._weights.append(notice)
             self._gathered.set()
 
     def notify_limits(self, notices: list[work_notice.LimitNotice]) -> None:
         """Notifies other hosts of limits that targets announced."""
-        if not self.is_alone():
+        if not self.has_no_peers():
             self._limits += notices
             self._gathered.set()
 
@@ -149,16 +149,16 @@
         self, notices: list[work_notice.DepartureNotice]
     ) -> None:
         """Notifies other hosts of targets that announced their departure."""
-        if not self.is_alone():
+        if not self.has_no_peers():
             self._departures += notices
             self._gathered.set()
 
-    def tell_suspects(self, notices: list[work_notice.SuspectNotice]) -> None:
+    def notify_suspects(self, notices: list[work_notice.SuspectNotice]) -> None:
         """Tells of requests under which targets end, once and at once."""
         for some in work_notice.pages(notices, work_notice.MAX_SUSPECT_NOTICES):
             self._tell_directly(suspects=some)
 
-    def tell_usage(self) -> None:
+    def report_usage(self) -> None:
         """Hands over what is due of this host's use of quotas."""
         now = clock.now()
         entry = self.gatherer.pick(now)
@@ -367,7 +367,7 @@
             except OSError as error:
                 _logger.debug("packet to %s not sent: %s", host.name, error)
             else:
-                self.told += 1
+                self.sent_packets += 1
 
     def _take(self, raw: bytes) -> None:
         try:
@@ -378,7 +378,7 @@
                 extra={"event": "bad_notice", "reason": error.message},
             )
             return
-        self.heard += 1
+        self.received_packets += 1
         now = clock.now()
         match packet.use:
             case work_notice.PacketUse.GATHER:
@@ -404,7 +404,7 @@
         for notice in packet.weights:
             self.site.take_weights_notice(notice, now)
         for suspect in packet.suspects:
-            self.heard_of_suspects(suspect)
+            self.apply_suspect(suspect)
         for limit in packet.limits:
             self.apply_limit(limit)
         for departure in packet.departures:
@@ -412,14 +412,14 @@
         if self.usage is None or packet.use is work_notice.PacketUse.GATHER:
             return
         for group in packet.usage:
-            self.heard_of_usage(self.usage.apply_notice(group, now))
+            self.apply_usage(self.usage.apply_notice(group, now))
 
     def _gather_usage(self, packet: work_notice.Packet, now: float) -> None:
         """Takes in what a host of this data centre has sent."""
         if self.usage is None or not packet.usage:
             return
         for notice in packet.usage:
-            self.heard_of_usage(self.usage.gather(notice, now))
+            self.apply_usage(self.usage.gather(notice, now))
         self._gathered.set()
 
     def _keep_usage(self, packet: work_notice.Packet) -> None:
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -92,7 +92,7 @@
         self.tasks = tasks
         self._cut_incarnations: dict[str, int] = {}
         self._stored_digests: set[str] = set()
-        work.heard_of_suspects = self.apply_notice
+        work.apply_suspect = self.apply_notice
 
     # Attempts.
 
@@ -327,9 +327,9 @@
 
         def send() -> None:
             still_true = [each for each in notices if self._is_valid(each)]
-            self.work.tell_suspects(still_true)
+            self.work.notify_suspects(still_true)
 
-        self.work.tell_suspects(notices)
+        self.work.notify_suspects(notices)
         self.tasks.start_soon(work_feed.resend, send)
 
     def _is_valid(self, notice: work_notice.SuspectNotice) -> bool:
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -89,7 +89,7 @@
         self._usage_due = anyio.Event()
         self._exhausted_tenants: set[str] = set()
         work.usage = self.ledger.exchange
-        work.heard_of_usage = self._add_peer_usage
+        work.apply_usage = self._add_peer_usage
 
     def admit(self, request: intake.GatewayRequest) -> None:
         """Admits a request if its organisation is within its quota.
@@ -204,11 +204,11 @@
                 await anyio.sleep(_BATCH_S)
             self._usage_due = anyio.Event()
             if not self._is_idle():
-                self.work.tell_usage()
+                self.work.report_usage()
 
     def _is_idle(self) -> bool:
         """Returns whether there are no quotas, or no peers to report to."""
-        return not self.ledger.windows_by_key or self.work.is_alone()
+        return not self.ledger.windows_by_key or self.work.has_no_peers()
 
     def _choose_interval_s(self) -> float:
         """Returns the interval of reports; they show that the host is alive."""
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -282,4 +282,4 @@
             0,
         )
         self.site.note_prompt(target, notice)
-        self.context.work.tell(notice)
+        self.context.work.notify_work(notice)
--- a/tests/coordination/gateway/peers/test_work_feed.py
+++ b/tests/coordination/gateway/peers/test_work_feed.py
@@ -41,7 +41,7 @@
                 )
             )
             await scene.call(long_prompt(scene))
-            await scene.until(lambda: other.work.heard == 1)
+            await scene.until(lambda: other.work.received_packets == 1)
             engine = next(e for e in scene.engines if e.runs)
             state = other.site.state(engine.name)
             scope = work_notice.checksum(f"tenant-one/m/{engine.weights}")
@@ -52,8 +52,8 @@
             await scene.call(scene.prompt("/stream/x"))
             await anyio.sleep(MAY_TELL_S)
             await scene.call(long_prompt(scene))
-            await scene.until(lambda: other.work.heard == 2)
-            self.assertEqual(scene.program.work.told, 2)
+            await scene.until(lambda: other.work.received_packets == 2)
+            self.assertEqual(scene.program.work.sent_packets, 2)
 
         scene_lib.play(story)
 
@@ -71,7 +71,7 @@
                 await anyio.sleep(MAY_TELL_S)
                 answer = await scene.call(long_prompt(scene))
                 self.assertEqual(answer.head.status, 200)
-            await scene.until(lambda: program.work.told == 3)
+            await scene.until(lambda: program.work.sent_packets == 3)
 
         scene_lib.play(story)
 
@@ -97,11 +97,11 @@
                     for _ in range(5):
                         other.sendto(raw, address)
                         other.sendto(raw_to_gather, address)
-                        program.work.tell(notice)
+                        program.work.notify_work(notice)
                     await anyio.sleep(0.01)
-            await scene.until(lambda: program.work.heard >= 50)
+            await scene.until(lambda: program.work.received_packets >= 50)
             # Each is passed on to the others of the data centre.
-            await scene.until(lambda: program.work.told >= 50 * 20)
+            await scene.until(lambda: program.work.sent_packets >= 50 * 20)
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
 
@@ -131,7 +131,7 @@
                 )
             self.assertIn(300, heard)
             # Of ten prompts at once most come in one packet.
-            self.assertLess(other.work.heard, prompts)
+            self.assertLess(other.work.received_packets, prompts)
 
         scene_lib.play(story)
 
--- a/tests/coordination/gateway/serving/test_deadly_requests.py
+++ b/tests/coordination/gateway/serving/test_deadly_requests.py
@@ -169,7 +169,7 @@
         async def scenario(scene):
             hosts = await start_hosts(scene, 2)
             unnotified = hosts[1]
-            unnotified.work.heard_of_suspects = lambda notice: None
+            unnotified.work.apply_suspect = lambda notice: None
             await call_many(scene, hosts[:1], 40, DEADLY_BODY)
             await scene.until(
                 lambda: (
