--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -123,7 +123,7 @@
         )
         self.hosts_read = anyio.Event()
         self.hosts_settled = anyio.Event()
-        self.readers = topic_plan.Readers(
+        self.follower_context = topic_plan.FollowerContext(
             self.store,
             store_watch.StoreWatch(
                 self._store_lost, self._store_back, self._suspect_reads
@@ -265,8 +265,8 @@
                 self._take_operator,
                 is_older=configuration.is_older,
                 keeps_missing=True,
-                confirms_start=True,
-                asks_for_all=True,
+                confirms_first_read=True,
+                probes_store=True,
             ),
             topic_plan.TopicPlan(
                 targets.TARGET_TOPIC,
@@ -289,12 +289,14 @@
                 self._take_host,
                 self.hosts_read.set,
                 keeps_missing=True,
-                lost=self._write_again,
+                on_lost=self._write_again,
                 lists_hosts=True,
             ),
         ]
         followers = {
-            plan.topic: store_follower.TopicFollower(plan, self.readers)
+            plan.topic: store_follower.TopicFollower(
+                plan, self.follower_context
+            )
             for plan in plans
         }
         operator = followers[configuration.OPERATOR_TOPIC]
--- a/hillthread/coordination/gateway/peers/feed_server.py
+++ b/hillthread/coordination/gateway/peers/feed_server.py
@@ -101,10 +101,10 @@
         with anyio.move_on_after(min(query.wait_s, _LONGEST_WAIT_S)):
             while self._learns(follower) and not _has_news(follower, query):
                 await follower.changed.wait()
-        if not self._learns(follower) or follower.is_outdated:
+        if not self._learns(follower) or follower.needs_full_read:
             await answer.send_whole(503, [], b"")
             return
-        await answer.send_whole(200, _CBOR, follower.page(query.start))
+        await answer.send_whole(200, _CBOR, follower.build_page(query.start))
 
     def _learns(self, follower: store_follower.TopicFollower) -> bool:
         """Returns whether this host learns of changes, and will go on.
@@ -115,7 +115,9 @@
         one a second later.
         """
         return not (
-            self.site.draining or self.site.is_store_lost or follower.is_suspect
+            self.site.draining
+            or self.site.is_store_lost
+            or follower.has_lost_read
         )
 
 
@@ -128,6 +130,6 @@
     do not turn to the store.
     """
     position = follower.copy.position
-    if position is None or follower.is_outdated:
+    if position is None or follower.needs_full_read:
         return False
     return position > query.start
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -76,13 +76,13 @@
     def __init__(
         self,
         plan: topic_plan.TopicPlan,
-        readers: topic_plan.Readers,
-        freshness_of: freshness.Freshness | None = None,
+        context: topic_plan.FollowerContext,
+        shared_freshness: freshness.Freshness | None = None,
     ):
         self.plan = plan
-        self.readers = readers
+        self.context = context
         self.copy = topic_copy.TopicCopy()
-        self.freshness = freshness_of or freshness.Freshness()
+        self.freshness = shared_freshness or freshness.Freshness()
         self.changed = anyio.Event()
         self._brought = False
         self._held: anyio.CancelScope | None = None
@@ -101,7 +101,7 @@
         failures = 0
         if not self.plan.lists_hosts:
             with anyio.move_on_after(_FIRST_HOSTS_S):
-                await self.readers.hosts_read.wait()
+                await self.context.hosts_read.wait()
         while True:
             if self._brought:
                 await anyio.sleep(self._gather_s())
@@ -119,9 +119,9 @@
 
         Where few hosts read, knowing early is worth more than the calls.
         """
-        if self.readers.source.has_shared_reader():
-            return self.plan.gather_s()
-        return self.plan.lone_gather_s
+        if self.context.source.has_shared_reader():
+            return self.plan.batch_delay_s()
+        return self.plan.lone_batch_delay_s
 
     async def _wait_settled(self) -> None:
         """Returns when it is known whom to read from.
@@ -129,19 +129,19 @@
         Hosts that start together list themselves one after the other. What was
         read at the start is new enough meanwhile, as behind a held read.
         """
-        is_lost = self.readers.watch.lost_at is not None
+        is_lost = self.context.watch.lost_at is not None
         if self.copy.position is None or is_lost:
             return
-        with anyio.move_on_after(self.plan.wait_s()):
-            await self.readers.hosts_settled.wait()
+        with anyio.move_on_after(self.plan.store_hold_s()):
+            await self.context.hosts_settled.wait()
 
     @property
-    def is_suspect(self) -> bool:
+    def has_lost_read(self) -> bool:
         """Whether a read was lost, and none was answered since."""
         return self._lost_at is not None
 
     @property
-    def is_outdated(self) -> bool:
+    def needs_full_read(self) -> bool:
         """Whether the topic has to be read whole again.
 
         The store was restored since, or does not keep what follows.
@@ -150,10 +150,10 @@
         if position is None:
             return False
         return (
-            self._is_truncated or position.era < self.readers.client.current_era
+            self._is_truncated or position.era < self.context.client.current_era
         )
 
-    def page(self, start: position_lib.Position) -> bytes:
+    def build_page(self, start: position_lib.Position) -> bytes:
         """Returns what another host wants to know now.
 
         Hosts that ask together get the same bytes, which are packed once.
@@ -177,17 +177,17 @@
     def _peer(self, failures: int) -> feed_source.HostEntry | None:
         if failures or (self.copy.position is None and self.plan.lists_hosts):
             return None
-        return self.readers.source.pick(clock.now())
+        return self.context.source.pick(clock.now())
 
     async def _read_peer(self, peer: feed_source.HostEntry) -> bool:
         """Reads from another host; returns whether that helped."""
         started = clock.now()
-        peer_wait_s = self.plan.peer_wait_s()
+        peer_hold_s = self.plan.peer_hold_s()
         page = None
         self._held_since = started
         try:
             with anyio.CancelScope() as self._held:
-                page = await self._call_peer(peer, peer_wait_s)
+                page = await self._call_peer(peer, peer_hold_s)
             if self._held.cancelled_caught:
                 return True  # it says nothing of the peer
         except http1_client.CallError as error:
@@ -201,23 +201,23 @@
             is_first = self.copy.position is None
             self._take_page(page)
             if is_first:
-                self.plan.caught_up()
-            waited_s = min(peer_wait_s, now - started)
+                self.plan.on_caught_up()
+            waited_s = min(peer_hold_s, now - started)
             held_s = 0.0 if page.records else waited_s
             self.freshness.note_read(started - page.age_s, held_s)
-            self.readers.watch.note_success()
+            self.context.watch.note_success()
             self._note_answer()
             outcome = "peer_answered"
         else:
-            self.readers.source.avoid(peer.name, now)
+            self.context.source.avoid(peer.name, now)
         self._count(outcome, started)
         return outcome == "peer_answered"
 
     def _is_current(self, page: feed.FeedPage) -> bool:
         """Returns whether another host knows enough to be followed."""
-        if page.position.era < self.readers.client.current_era:
+        if page.position.era < self.context.client.current_era:
             return False
-        oldest_s = _PEER_AGE_S + self.plan.reader_wait_s()
+        oldest_s = _PEER_AGE_S + self.plan.reader_hold_s()
         return page.age_s <= oldest_s
 
     async def _call_peer(
@@ -229,7 +229,7 @@
             b"GET", feed.encode_query(query), [(b"host", peer.feed.encode())]
         )
         answer = await http1_client.call(
-            self.readers.peers,
+            self.context.peer_pool,
             peer.feed,
             request,
             wait_s + held_read.PEER_READ_LOST_AFTER_S,
@@ -245,7 +245,7 @@
     def _take_page(self, page: feed.FeedPage) -> None:
         self._is_truncated = False
         # A peer may know of a restoration before the store has answered.
-        self.readers.client.note_era(page.position.era)
+        self.context.client.note_era(page.position.era)
         if page.whole:
             if page.position < (self.copy.position or _START):
                 return  # it knows less than this host
@@ -261,7 +261,7 @@
         """Reads from the store; returns failures in a row so far."""
         started = clock.now()
         try:
-            if self.copy.position is None or self.is_outdated:
+            if self.copy.position is None or self.needs_full_read:
                 await self._read_newest(started)
             elif not await self._read_changes(self._wait_s(failures)):
                 return 0  # interrupted: it says nothing of the store
@@ -273,14 +273,14 @@
             self._count("restored", started)
             return 0
         except store.LostReadError as error:
-            if not failures and self.readers.watch.lost_at is None:
+            if not failures and self.context.watch.lost_at is None:
                 self._note_lost_read(error.message)
                 self._count("lost", started)
                 return 1
             return await self._note_failure(failures, error, started)
         except errors.LogError as error:
             return await self._note_failure(failures, error, started)
-        self.readers.watch.note_success()
+        self.context.watch.note_success()
         self._count("answered", started)
         self._note_answer()
         return 0
@@ -307,14 +307,14 @@
         if self._lost_at is None:
             return
         lost_at, self._lost_at = self._lost_at, None
-        self.readers.watch.suspect(lost_at)
+        self.context.watch.suspect(lost_at)
 
     async def _note_failure(
         self, failures: int, error: errors.LogError, started: float
     ) -> int:
         """Notes that the store fails and waits; returns failures so far."""
         self._lost_at = None
-        self.readers.watch.note_failure(error.message)
+        self.context.watch.note_failure(error.message)
         self._count("failed", started)
         await self._pause(failures + 1)
         return failures + 1
@@ -326,13 +326,13 @@
         when the store answers again.
         """
         longest_s = _LONGEST_PAUSE_S
-        if self.readers.source.has_shared_reader():
+        if self.context.source.has_shared_reader():
             longest_s = _LONGEST_SHARED_PAUSE_S
         await anyio.sleep(_pause_s(failures, longest_s))
-        is_lost = self.readers.watch.lost_at is not None
-        if is_lost and not self.plan.asks_for_all:
+        is_lost = self.context.watch.lost_at is not None
+        if is_lost and not self.plan.probes_store:
             with anyio.move_on_after(_LONGEST_WAIT_S):
-                await self.readers.watch.answers.wait()
+                await self.context.watch.answers.wait()
 
     def _wait_s(self, failures: int) -> float:
         """Returns how long the store is to hold the next read, seconds.
@@ -340,22 +340,22 @@
         After a failure or a lost read, also of another follower, an answer at
         once is wanted.
         """
-        is_lost = self.readers.watch.lost_at is not None
+        is_lost = self.context.watch.lost_at is not None
         if failures or is_lost or self._lost_at is not None:
             return 0.0
-        wait_s = self.plan.wait_s()
-        if self.readers.source.is_shared_reader():
-            return min(wait_s, self.plan.reader_wait_s())
+        wait_s = self.plan.store_hold_s()
+        if self.context.source.is_shared_reader():
+            return min(wait_s, self.plan.reader_hold_s())
         return wait_s
 
     async def _read_newest(self, started: float) -> None:
-        page = await self.readers.client.newest(self.plan.topic)
+        page = await self.context.client.newest(self.plan.topic)
         records = page.records
-        if self.plan.confirms_start and not self.copy.newest:
+        if self.plan.confirms_first_read and not self.copy.newest:
             records = await self._confirm(records)
         self._take_whole(records, page.end)
         self.freshness.note_read(started)
-        self.plan.caught_up()
+        self.plan.on_caught_up()
         if self.plan.lists_hosts:
             self._brought = True  # others that start now are about to come
 
@@ -375,7 +375,7 @@
 
         with anyio.move_on_after(_CONFIRM_S):
             async with anyio.create_task_group() as tasks:
-                for peer in self.readers.source.pick_confirming_hosts(
+                for peer in self.context.source.pick_confirming_hosts(
                     random.choice
                 ):
                     tasks.start_soon(ask, peer)
@@ -392,7 +392,7 @@
         page = None
         self._held_since = started
         with anyio.CancelScope() as self._held:
-            page = await self.readers.client.read(
+            page = await self.context.client.read(
                 self.plan.topic, self.copy.position or _START, wait_s
             )
         self._held = None
@@ -432,7 +432,7 @@
             },
         )
         self._take_all(restored.changes)
-        self.plan.lost(restored.lost)
+        self.plan.on_lost(restored.lost)
         self.wake()
 
     def _take_raw(self, raw: log_pages.LogRecord) -> None:
@@ -449,7 +449,7 @@
     def _take_all(self, changes: list[topic_copy.TopicRecord]) -> None:
         for record in changes:
             try:
-                self.plan.take(record)
+                self.plan.apply_record(record)
             except errors.ConfigurationError as error:
                 self._note_bad(record.key, error)
         if changes:
@@ -462,14 +462,14 @@
         self.changed = anyio.Event()
 
     def _count(self, outcome: str, started: float) -> None:
-        metrics = self.readers.metrics
+        metrics = self.context.metrics
         metrics.store_calls.labels(self.plan.topic, outcome).inc()
         metrics.store_seconds.labels(self.plan.topic).observe(
             clock.now() - started
         )
 
     def _note_bad(self, key: str, error: errors.HillthreadError) -> None:
-        self.readers.metrics.bad_records.labels(self.plan.topic).inc()
+        self.context.metrics.bad_records.labels(self.plan.topic).inc()
         _logger.error(
             "record passed over",
             extra={
--- a/hillthread/coordination/gateway/store/topic_plan.py
+++ b/hillthread/coordination/gateway/store/topic_plan.py
@@ -14,7 +14,7 @@
 from hillthread.state.cluster import topic_copy
 from hillthread.transport import http1_client
 
-__all__ = ["Readers", "TopicPlan"]
+__all__ = ["FollowerContext", "TopicPlan"]
 
 
 def _nobody() -> None:
@@ -34,7 +34,7 @@
     return False
 
 
-class Readers(NamedTuple):
+class FollowerContext(NamedTuple):
     """What all followers of a host share.
 
     Attributes:
@@ -51,7 +51,7 @@
     client: store.StoreClient
     watch: store_watch.StoreWatch
     source: feed_source.FeedSource
-    peers: http1_client.ConnectionPool
+    peer_pool: http1_client.ConnectionPool
     metrics: metrics_lib.GatewayMetrics
     hosts_read: anyio.Event
     hosts_settled: anyio.Event
@@ -87,18 +87,18 @@
     """
 
     topic: str
-    wait_s: Callable[[], float]
-    reader_wait_s: Callable[[], float]
-    peer_wait_s: Callable[[], float]
-    gather_s: Callable[[], float]
-    lone_gather_s: float
-    take: Callable[[topic_copy.TopicRecord], None]
-    caught_up: Callable[[], None] = _nobody
+    store_hold_s: Callable[[], float]
+    reader_hold_s: Callable[[], float]
+    peer_hold_s: Callable[[], float]
+    batch_delay_s: Callable[[], float]
+    lone_batch_delay_s: float
+    apply_record: Callable[[topic_copy.TopicRecord], None]
+    on_caught_up: Callable[[], None] = _nobody
     is_older: Callable[
         [topic_copy.TopicRecord, topic_copy.TopicRecord], bool
     ] = _is_never_older
     keeps_missing: bool = False
-    lost: Callable[[list[str]], None] = _ignore_lost
-    confirms_start: bool = False
-    asks_for_all: bool = False
+    on_lost: Callable[[list[str]], None] = _ignore_lost
+    confirms_first_read: bool = False
+    probes_store: bool = False
     lists_hosts: bool = False
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -66,7 +66,9 @@
                 feed, "pack_records", side_effect=feed.pack_records
             ) as pack:
                 pages = {
-                    feed.decode_page(follower.page(position_lib.Position(0, 0)))
+                    feed.decode_page(
+                        follower.build_page(position_lib.Position(0, 0))
+                    )
                     .records[0]
                     .key
                     for _ in range(75)
@@ -76,7 +78,7 @@
                 position = follower.copy.position
                 await scene.until(lambda: follower.copy.position > position)
                 page = feed.decode_page(
-                    follower.page(position_lib.Position(0, 0))
+                    follower.build_page(position_lib.Position(0, 0))
                 )
             self.assertEqual(pack.call_count, 2)
             self.assertEqual(len(pages), 1)
@@ -87,7 +89,9 @@
     def test_part_of_what_is_new_proves_nothing(self):
         async def story(scene):
             scene.store.faults.status = 503
-            await scene.until(lambda: scene.program.readers.watch.lost_at)
+            await scene.until(
+                lambda: scene.program.follower_context.watch.lost_at
+            )
             proven_at = scene.site.freshness.known_until
             scene.store.faults.page_records = 1
             scene.store.put("keyed.op", "other", {})
@@ -161,7 +165,9 @@
             site = scene.site
             faults.busy_topic = "keyed.servers"
             scene.program.followers["keyed.servers"].interrupt()
-            await scene.until(lambda: scene.program.readers.watch.lost_at)
+            await scene.until(
+                lambda: scene.program.follower_context.watch.lost_at
+            )
             faults.busy_topic = ""
             scene.store.remove("keyed.servers", "p0")
             await scene.until(lambda: "p0" not in site.targets.entries)
@@ -200,7 +206,7 @@
                     self.assertEqual(answers, [])
                     if event == "lost":
                         scene.store.faults.status = 503
-                        program.readers.watch.note_failure("a test")
+                        program.follower_context.watch.note_failure("a test")
                     elif event == "one read lost":
                         scene.store.faults.silent = True
                         follower = program.followers["keyed.servers"]
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -151,7 +151,7 @@
                 lambda: second.site.configuration.version == scene.version
             )
             for follower in second.followers.values():
-                await scene.until(lambda f=follower: not f.is_outdated)
+                await scene.until(lambda f=follower: not f.needs_full_read)
             self.assertEqual(second.store.calls, calls)
 
         play(story)
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -43,7 +43,9 @@
 
     def test_host_whose_store_fails_refuses_at_once(self):
         async def story(scene):
-            await scene.until(lambda: scene.program.readers.watch.lost_at)
+            await scene.until(
+                lambda: scene.program.follower_context.watch.lost_at
+            )
             started = time.monotonic()
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
@@ -117,7 +119,9 @@
     def test_dropped_history_is_read_anew(self):
         async def story(scene):
             scene.store.faults.status = 503
-            await scene.until(lambda: scene.program.readers.watch.lost_at)
+            await scene.until(
+                lambda: scene.program.follower_context.watch.lost_at
+            )
             scene.configure(routes=[])
             scene.store.remove("keyed.servers", "p0")
             scene.store.drop_history()
@@ -319,11 +323,15 @@
     def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
         async def story(scene):
             scene.store.faults.status = 503
-            await scene.until(lambda: scene.program.readers.watch.lost_at)
+            await scene.until(
+                lambda: scene.program.follower_context.watch.lost_at
+            )
             for target in scene.plain:
                 scene.store.remove("keyed.servers", target.name)
             scene.store.faults.status = 0
-            await scene.until(lambda: not scene.program.readers.watch.lost_at)
+            await scene.until(
+                lambda: not scene.program.follower_context.watch.lost_at
+            )
             await anyio.sleep(0.1)
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 200)
