--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -205,7 +205,7 @@
             waited_s = min(peer_hold_s, now - started)
             held_s = 0.0 if page.records else waited_s
             self.freshness.note_read(started - page.age_s, held_s)
-            self.context.watch.note_success()
+            self.context.watch.record_success()
             self._note_answer()
             outcome = "peer_answered"
         else:
@@ -280,7 +280,7 @@
             return await self._note_failure(failures, error, started)
         except errors.LogError as error:
             return await self._note_failure(failures, error, started)
-        self.context.watch.note_success()
+        self.context.watch.record_success()
         self._count("answered", started)
         self._note_answer()
         return 0
@@ -307,14 +307,14 @@
         if self._lost_at is None:
             return
         lost_at, self._lost_at = self._lost_at, None
-        self.context.watch.suspect(lost_at)
+        self.context.watch.on_suspect(lost_at)
 
     async def _note_failure(
         self, failures: int, error: errors.LogError, started: float
     ) -> int:
         """Notes that the store fails and waits; returns failures so far."""
         self._lost_at = None
-        self.context.watch.note_failure(error.message)
+        self.context.watch.record_failure(error.message)
         self._count("failed", started)
         await self._pause(failures + 1)
         return failures + 1
@@ -332,7 +332,7 @@
         is_lost = self.context.watch.lost_at is not None
         if is_lost and not self.plan.probes_store:
             with anyio.move_on_after(_LONGEST_WAIT_S):
-                await self.context.watch.answers.wait()
+                await self.context.watch.reachable.wait()
 
     def _wait_s(self, failures: int) -> float:
         """Returns how long the store is to hold the next read, seconds.
--- a/hillthread/coordination/gateway/store/store_watch.py
+++ b/hillthread/coordination/gateway/store/store_watch.py
@@ -24,27 +24,27 @@
 
     def __init__(
         self,
-        lost: Callable[[str], None],
-        back: Callable[[float, float], None],
-        suspect: Callable[[float], None],
+        on_lost: Callable[[str], None],
+        on_back: Callable[[float, float], None],
+        on_suspect: Callable[[float], None],
     ):
-        self.lost = lost
-        self.back = back
-        self.suspect = suspect
+        self.on_lost = on_lost
+        self.on_back = on_back
+        self.on_suspect = on_suspect
         self.lost_at: float | None = None
-        self.answers = anyio.Event()
+        self.reachable = anyio.Event()
 
-    def note_failure(self, reason: str) -> None:
+    def record_failure(self, reason: str) -> None:
         """Notes a call that was not answered."""
         if self.lost_at is None:
             self.lost_at = clock.now()
-            self.answers = anyio.Event()
-            self.lost(reason)
+            self.reachable = anyio.Event()
+            self.on_lost(reason)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Notes a call that was answered."""
         if self.lost_at is not None:
             now = clock.now()
-            self.back(now, now - self.lost_at)
+            self.on_back(now, now - self.lost_at)
             self.lost_at = None
-            self.answers.set()
+            self.reachable.set()
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -206,7 +206,7 @@
                     self.assertEqual(answers, [])
                     if event == "lost":
                         scene.store.faults.status = 503
-                        program.follower_context.watch.note_failure("a test")
+                        program.follower_context.watch.record_failure("a test")
                     elif event == "one read lost":
                         scene.store.faults.silent = True
                         follower = program.followers["keyed.servers"]
--- a/tests/coordination/gateway/serving/test_silent_connections.py
+++ b/tests/coordination/gateway/serving/test_silent_connections.py
@@ -20,7 +20,7 @@
     ):
         async def story(scene):
             lost = []
-            scene.program.follower_context.watch.lost = lost.append
+            scene.program.follower_context.watch.on_lost = lost.append
             scene.store_link.silence()
             silent_at = time.monotonic()
             scene.store.remove("keyed.servers", "p0")
@@ -41,7 +41,7 @@
     def test_store_that_is_also_silent_over_new_connections_is_lost(self):
         async def story(scene):
             lost = []
-            scene.program.follower_context.watch.lost = lost.append
+            scene.program.follower_context.watch.on_lost = lost.append
             scene.store.faults.silent = True
             scene.store_link.silence()
             await scene.until(lambda: lost)
