--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -190,7 +190,7 @@
             self.rollout.run,
             functools.partial(self.work.run, self.feed_server.address),
             self.quotas.run,
-            self.hosts.list_host,
+            self.hosts.register,
             self.gateway.dispatcher.chooser.cache_planner.watch.run,
             self.gateway.dispatcher.monitor.run,
             self._tick,
@@ -345,7 +345,7 @@
         if record.key.startswith(host_registry.QUARANTINE_PREFIX):
             self.quarantine.apply_record(record)
         else:
-            self.hosts.take(record)
+            self.hosts.apply_host_record(record)
 
     def _store_back(self, now: float, lost_s: float) -> None:
         self.site.store_back(now, lost_s)
@@ -383,7 +383,7 @@
 
     def _write_again(self, keys: list[str]) -> None:
         """Has hosts write again what a restored store has lost of theirs."""
-        self.tasks.start_soon(self.hosts.list_again, self._listed_entry)
+        self.tasks.start_soon(self.hosts.register_again, self._listed_entry)
         for key in keys:
             if key.startswith(host_registry.QUARANTINE_PREFIX):
                 self.quarantine.restore_record(key, self._is_lost)
--- a/hillthread/coordination/gateway/store/host_registry.py
+++ b/hillthread/coordination/gateway/store/host_registry.py
@@ -25,7 +25,7 @@
     "HOSTS_TOPIC",
     "QUARANTINE_PREFIX",
     "HostRegistry",
-    "rewrite_spread_s",
+    "compute_rewrite_spread_s",
 ]
 
 # What hosts publish for good. Records of other kinds share the topic, since
@@ -70,30 +70,30 @@
         site: site_lib.Site,
         source: feed_source.FeedSource,
         feed: str,
-        known: anyio.Event,
-        settled: anyio.Event,
+        hosts_read: anyio.Event,
+        hosts_settled: anyio.Event,
     ):
         self.store = store
         self.site = site
         self.source = source
         self.feed = feed
-        self.known = known
-        self.settled = settled
+        self.hosts_read = hosts_read
+        self.hosts_settled = hosts_settled
 
-    async def list_host(self) -> None:
+    async def register(self) -> None:
         """Writes this host's entry, if the list has another or none.
 
         Each write has its price, and has all other hosts read the list: one
         that starts again where it was is listed already.
         """
-        await self.known.wait()
+        await self.hosts_read.wait()
         wanted = self._own_entry()
         if self.source.hosts.get(wanted.name) == wanted:
             self._settle()
             return
         await self._put_listed(wanted)
 
-    async def list_again(self, listed: Callable[[], bytes]) -> None:
+    async def register_again(self, listed: Callable[[], bytes]) -> None:
         """Writes this host's entry if the store was restored without it.
 
         All hosts that joined since the copy was made do so: each waits a
@@ -103,7 +103,7 @@
             listed: Returns this host's entry in the store; empty if it has
                 none. It may be that of an earlier process.
         """
-        spread_s = rewrite_spread_s(self.site.hosts)
+        spread_s = compute_rewrite_spread_s(self.site.hosts)
         await anyio.sleep(random.uniform(0.0, spread_s))
         wanted = self._own_entry()
         if listed() == _encode(wanted):
@@ -119,7 +119,7 @@
 
     def _settle(self) -> None:
         """Notes that this host is listed, and so are those it started with."""
-        self.settled.set()
+        self.hosts_settled.set()
         self._count()
 
     async def _put_listed(self, wanted: feed_source.HostEntry) -> None:
@@ -138,7 +138,7 @@
                 return
             await anyio.sleep(_RETRY_S * random.uniform(1.0, 1.0 + _SPREAD))
 
-    def take(self, record: topic_copy.TopicRecord) -> None:
+    def apply_host_record(self, record: topic_copy.TopicRecord) -> None:
         """Applies a change of the topic.
 
         Raises:
@@ -153,9 +153,9 @@
             )
         else:
             self.source.remove(record.key)
-        if record.key == self.site.settings.host and self.known.is_set():
+        if record.key == self.site.settings.host and self.hosts_read.is_set():
             # Others that started with it were read together with its entry.
-            self.settled.set()
+            self.hosts_settled.set()
         self._count()
         _logger.info(
             "hosts changed",
@@ -176,7 +176,7 @@
         Until those are known that started with this one, no fewer than are
         assumed at the start: each would take too large a part.
         """
-        least = 1 if self.settled.is_set() else site_lib.DEFAULT_HOSTS
+        least = 1 if self.hosts_settled.is_set() else site_lib.DEFAULT_HOSTS
         self.site.hosts = max(least, len(self.source.hosts))
         self.site.neighbours = self.source.count_neighbours()
 
@@ -187,6 +187,6 @@
     )
 
 
-def rewrite_spread_s(hosts: int) -> float:
+def compute_rewrite_spread_s(hosts: int) -> float:
     """Returns within which time hosts write again what the store has lost."""
     return hosts / _REWRITES_PER_S
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -303,8 +303,8 @@
                 joined.hosts_read,
                 anyio.Event(),
             )
-            await again.list_host()
-            self.assertTrue(again.settled.is_set())
+            await again.register()
+            self.assertTrue(again.hosts_settled.is_set())
             self.assertEqual(scene.store.calls["log-append"], writes)
 
         scene_lib.play(story)
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -251,7 +251,9 @@
                 {"data_centre": "here", "feed": "127.0.0.1:1"},
             )
             backup = scene.store.backup()
-            program.hosts.settled = anyio.Event()  # as before its first entry
+            program.hosts.hosts_settled = (
+                anyio.Event()
+            )  # as before its first entry
             program.hosts._count()
             self.assertEqual(scene.site.hosts, site_lib.DEFAULT_HOSTS)
             await restore(scene, backup)
