--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -197,19 +197,19 @@
         ):
             self.tasks.start_soon(start)
 
-    async def drain(self, asked_at: float) -> None:
+    async def drain(self, requested_at: float) -> None:
         """Stops as planned: not ready, serve on, then wait for requests."""
-        self.site.draining = True
+        self.site.is_draining = True
         self.server.stopping = True
         self._wake_readers()
         _logger.info("stopping", extra={"event": "stop_notice"})
-        give_up_at = asked_at + self.site.settings.grace_s - _STOP_MARGIN_S
+        give_up_at = requested_at + self.site.settings.grace_s - _STOP_MARGIN_S
         await anyio.sleep(min(_NOTICE_S, self.site.settings.grace_s / 2))
         self.server.close_idle()
         closing_s = min(_CLOSING_S, self.site.settings.grace_s * _CLOSING_SHARE)
-        closing_at = asked_at + closing_s
+        closing_at = requested_at + closing_s
         await anyio.sleep(max(0.0, closing_at - clock.now()))
-        self.site.closing = True
+        self.site.is_closing = True
         with anyio.move_on_after(_RELEASE_S):
             await self.rollout.lease.release()
         await self._wait_finished(give_up_at)
@@ -276,7 +276,7 @@
                 self._targets_gather_s,
                 _LONE_GATHER_S,
                 self._take_target,
-                self.site.note_targets_known,
+                self.site.mark_targets_known,
                 is_older=targets.is_older,
             ),
             topic_plan.TopicPlan(
@@ -331,9 +331,9 @@
         if not record.value:
             return
         if record.key == configuration.CONFIGURATION_KEY:
-            self.site.adopt_configuration(record.value)
+            self.site.apply_configuration(record.value)
         elif record.key.startswith(configuration.WEIGHTS_KEY_PREFIX):
-            self.site.name_weights(record.value)
+            self.site.apply_weights_announcement(record.value)
 
     def _take_target(self, record: topic_copy.TopicRecord) -> None:
         if record.value:
@@ -431,7 +431,7 @@
                     extra={
                         "event": "readiness",
                         "reason": reason,
-                        "store_age_s": self.site.told_age_s(now),
+                        "store_age_s": self.site.rounded_age_s(now),
                     },
                 )
             self.metrics.ready.set(not reason)
@@ -460,14 +460,14 @@
                 "event": "status",
                 "serving": self.server.serving,
                 "callers": len(self.server.connections),
-                "store_age_s": self.site.told_age_s(now),
+                "store_age_s": self.site.rounded_age_s(now),
                 "store_calls": self.store.calls,
                 "reads": self.metrics.count_store_calls(),
                 "targets": len(self.site.targets.entries),
                 "ejected": self.site.ejected(now),
                 "connections_opened": dict(self.pool.opened),
                 "keep_told_s": dict(self.pool.keep_told),
-                "hosts": self.site.hosts,
+                "hosts": self.site.cluster_size,
                 "lease_holder": self.rollout.lease.contender.state.holder,
                 "loading": sorted(self.rollout.loading),
                 **self.site.weights_status(now),
--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -89,9 +89,9 @@
         it until it stops, since another host would have to wait until the lease
         expires.
         """
-        if self.site.closing or clock.now() < self._resigned_until:
+        if self.site.is_closing or clock.now() < self._resigned_until:
             return False
-        if self.site.draining and not self.lease.is_holder:
+        if self.site.is_draining and not self.lease.is_holder:
             return False
         return await self.lease.acquire_or_renew()
 
--- a/hillthread/coordination/gateway/orders/rollout_keeper.py
+++ b/hillthread/coordination/gateway/orders/rollout_keeper.py
@@ -103,7 +103,7 @@
                 await self._load_ended.wait()
             return
         with anyio.move_on_after(_IDLE_INTERVAL_S):
-            await self.site.weights_named.wait()
+            await self.site.weights_announced.wait()
 
     async def _run_once(self, now: float) -> None:
         self._load_ended = anyio.Event()
--- a/hillthread/coordination/gateway/peers/feed_server.py
+++ b/hillthread/coordination/gateway/peers/feed_server.py
@@ -115,7 +115,7 @@
         one a second later.
         """
         return not (
-            self.site.draining
+            self.site.is_draining
             or self.site.is_store_lost
             or follower.has_lost_read
         )
--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -103,7 +103,9 @@
         self.apply_usage: Callable[[dict[int, float]], None] = _ignore
         self._origin = work_notice.checksum(source.name)
         now = clock.now()
-        self._direct = limits.TokenBucket(_DIRECT_PER_S / site.hosts, now)
+        self._direct = limits.TokenBucket(
+            _DIRECT_PER_S / site.cluster_size, now
+        )
         self._room = limits.TokenBucket(_GATHERED_PER_S, now)
         self._gathered_until = float("-inf")
         self._own_part: list[work_notice.WorkNotice] = []
@@ -165,10 +167,10 @@
         if entry is None or self.usage is None:
             return
         if entry.name == self.source.name:
-            self.usage.report_to(self.usage.origin, now, self.site.hosts)
+            self.usage.report_to(self.usage.origin, now, self.site.cluster_size)
             self._gathered.set()
             return
-        if self.usage.is_report_due(now, self.site.hosts):
+        if self.usage.is_report_due(now, self.site.cluster_size):
             self._send_to_gatherer([], entry, now)
 
     async def run(self, address: str) -> None:
@@ -233,7 +235,7 @@
 
     def _may_tell(self, now: float) -> bool:
         """Returns whether the other hosts may be told directly once more."""
-        self._direct.rate = _DIRECT_PER_S / self.site.hosts
+        self._direct.rate = _DIRECT_PER_S / self.site.cluster_size
         if self._direct.wait_s(now) > 0.0:
             self._gathered_until = now + _GATHERED_S
             return False
@@ -291,7 +293,7 @@
         usage = []
         if self.usage is not None:
             key = usage_exchange.name_key(entry.name)
-            handed = self.usage.report_to(key, now, self.site.hosts)
+            handed = self.usage.report_to(key, now, self.site.cluster_size)
             usage = [handed] if handed else []
         packet = work_notice.Packet(
             work_notice.PacketUse.GATHER, work, [], usage=usage
--- a/hillthread/coordination/gateway/serving/cache_source.py
+++ b/hillthread/coordination/gateway/serving/cache_source.py
@@ -118,7 +118,7 @@
         whole = sum(part.tokens for part in parts)
         return budget.withdraw(
             clock.now(),
-            store.link_bytes_per_s / self.site.hosts,
+            store.link_bytes_per_s / self.site.cluster_size,
             (whole - parts[-1].tokens) * token_bytes,
             whole * token_bytes,
         )
--- a/hillthread/coordination/gateway/serving/cache_watch.py
+++ b/hillthread/coordination/gateway/serving/cache_watch.py
@@ -95,7 +95,7 @@
             contents.apply(page.epoch, page.position, page.events, page.lost)
             elapsed_s = clock.now() - started
             interval_s = max(
-                _MIN_INTERVAL_S, _INTERVAL_PER_HOST_S * self.site.hosts
+                _MIN_INTERVAL_S, _INTERVAL_PER_HOST_S * self.site.cluster_size
             )
             await anyio.sleep(max(0.0, interval_s - elapsed_s))
         del self.contents[address]
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -141,7 +141,7 @@
             rank=choice.rank,
             pool=pool.name if pool else None,
             configuration=self.site.table.position if self.site.table else -1,
-            store_age_s=self.site.told_age_s(targets_view.now),
+            store_age_s=self.site.rounded_age_s(targets_view.now),
             candidates=targets_view.summarize(),
             targets=len(members),
             old_weights=targets_view.outdated_weights_fields(choice.name),
--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -81,7 +81,7 @@
             BrokenAnswerError: Its answer was started and cannot be completed.
         """
         request_id = _request_id(caller)
-        self.sampler.hosts = self.site.hosts
+        self.sampler.hosts = self.site.cluster_size
         log = story_lib.RequestLog(request_id, self.sampler)
         self.inflight += 1
         self.metrics.inflight.set(self.inflight)
@@ -89,7 +89,7 @@
         code = ""
         job: job_lib.Job | None = None
         try:
-            await self.site.wait_known(caller.arrived)
+            await self.site.wait_until_routable(caller.arrived)
             request = intake.admit(self.site, caller, log)
             await self.quotas.wait_at_startup(request)
             self.quotas.admit(request)
@@ -177,7 +177,7 @@
             retry_after_s=retry_delay_s,
             reason=refusal.message,
             started=answer.started,
-            store_age_s=self.site.told_age_s(clock.now()),
+            store_age_s=self.site.rounded_age_s(clock.now()),
         )
         if answer.started:
             raise http1_server.BrokenAnswerError
--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -122,11 +122,11 @@
     Raises:
         RefusalError: The request cannot be served; it has not run.
     """
-    if site.closing:
+    if site.is_closing:
         raise make_not_ready_error(
             "The host is shutting down.", _OTHER_HOST_RETRY_S
         )
-    if not site.knows_enough:
+    if not site.can_route:
         raise make_not_ready_error(
             "The host does not know the configuration yet.", _STARTUP_RETRY_S
         )
@@ -228,7 +228,7 @@
     unready_s = site.unready_s(clock.now())
     if unready_s >= _OUTAGE_AFTER_S:
         return _OUTAGE_RETRY_S
-    if site.neighbours:
+    if site.neighbour_count:
         return _OTHER_HOST_RETRY_S
     return max(_OTHER_HOST_RETRY_S, _BALANCER_DETECTION_S - unready_s)
 
--- a/hillthread/coordination/gateway/serving/limit_keeper.py
+++ b/hillthread/coordination/gateway/serving/limit_keeper.py
@@ -148,7 +148,7 @@
                 "target": target,
                 "limit_per_s": per_s,
                 "source": source,
-                "hosts": self.site.hosts,
+                "hosts": self.site.cluster_size,
                 "part": round(
                     self.quotas.ledger.reachable_share(clock.now()), 3
                 ),
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -263,7 +263,9 @@
     async def _restore_after_delay(
         self, key: str, rank: int, is_lost: Callable[[str], bool]
     ) -> None:
-        spread_s = host_registry.compute_rewrite_spread_s(self.site.hosts)
+        spread_s = host_registry.compute_rewrite_spread_s(
+            self.site.cluster_size
+        )
         await anyio.sleep(random.uniform(rank, rank + 1.0) * spread_s)
         digest = key.removeprefix(host_registry.QUARANTINE_PREFIX)
         ended = self.site.quarantine.ended_incarnations(digest)
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -115,7 +115,7 @@
         self._log_exhaustion(name, window, left)
         if left > 0.0:
             return
-        after_s = window.refuse(now, amount, self.site.hosts)
+        after_s = window.refuse(now, amount, self.site.cluster_size)
         self.site.metrics.note_quota_refusal(name)
         raise _make_refusal(
             f"{name} has used its quota of {quota.rate_per_s:.0f} "
@@ -221,7 +221,7 @@
 
     def _apply_quotas(self) -> None:
         """Applies the quotas of the active configuration."""
-        self.ledger.host_count = self.site.hosts
+        self.ledger.host_count = self.site.cluster_size
         table = self.site.table
         if table is None or table.position == self._table_position:
             return
@@ -252,7 +252,7 @@
                 "unit": window.quota.unit,
                 "used": int(window.used),
                 "part": round(window.reachable_share, 3),
-                "hosts": self.site.hosts,
+                "hosts": self.site.cluster_size,
                 "refused": window.refused,
             },
         )
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -242,7 +242,7 @@
         """Returns how many idle connections to a target this host may keep."""
         if not pool.max_connections:
             return http1_client.MOST_IDLE
-        share = pool.max_connections * _IDLE_SHARE / self.site.hosts
+        share = pool.max_connections * _IDLE_SHARE / self.site.cluster_size
         return max(1, min(http1_client.MOST_IDLE, int(share)))
 
     def _note_head(
--- a/hillthread/coordination/gateway/settings_watch.py
+++ b/hillthread/coordination/gateway/settings_watch.py
@@ -77,7 +77,7 @@
             for name in _FIXED_SETTINGS
             if getattr(loaded, name) != getattr(before, name)
         ]
-        self.site.adopt_settings(loaded)
+        self.site.apply_settings(loaded)
         _logger.info(
             "settings taken over",
             extra={"event": "reload", "need_a_restart": fixed},
--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -28,7 +28,7 @@
 # first call when the store answers; a request that comes before waits for it.
 _FIRST_MOMENTS_S = 0.5
 # Hosts to share a budget with, until they are counted; rather too many.
-DEFAULT_HOSTS = 24
+DEFAULT_CLUSTER_SIZE = 24
 
 _logger = logging.getLogger("hillthread.site")
 
@@ -67,14 +67,14 @@
         self.freshness = freshness.Freshness()
         self.quarantine = quarantine.Quarantine()
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
-        self.hosts = DEFAULT_HOSTS
-        self.neighbours = 0
-        self.draining = False
-        self.closing = False
-        self.weights_named = anyio.Event()
-        self.adopt_settings(settings)
-
-    def adopt_settings(self, settings: settings_lib.GatewaySettings) -> None:
+        self.cluster_size = DEFAULT_CLUSTER_SIZE
+        self.neighbour_count = 0
+        self.is_draining = False
+        self.is_closing = False
+        self.weights_announced = anyio.Event()
+        self.apply_settings(settings)
+
+    def apply_settings(self, settings: settings_lib.GatewaySettings) -> None:
         """Puts settings in force, at the start and when they change."""
         self.settings = settings
         self.targets.max_missing_s = settings.drain_ms / 1000.0 * _READY_SHARE
@@ -87,7 +87,7 @@
             return caller_bounds.CallerBounds()
         return self.configuration.bounds
 
-    def adopt_configuration(self, payload: bytes) -> None:
+    def apply_configuration(self, payload: bytes) -> None:
         """Puts a newer configuration in force; an older one is passed over.
 
         Raises:
@@ -111,7 +111,7 @@
             },
         )
 
-    def name_weights(self, payload: bytes) -> None:
+    def apply_weights_announcement(self, payload: bytes) -> None:
         """Takes in newly named weights.
 
         They were named after the last read that proves something: this host
@@ -126,25 +126,25 @@
         if self.weights.record_announcement(
             named.model, named.version, now, not_before
         ):
-            self.weights_named.set()
-            self.weights_named = anyio.Event()
+            self.weights_announced.set()
+            self.weights_announced = anyio.Event()
             _logger.info(
                 "weights named",
                 extra={
                     "event": "weights_named",
                     "model": named.model,
                     "version": named.version,
-                    "store_age_s": self.told_age_s(now),
+                    "store_age_s": self.rounded_age_s(now),
                 },
             )
 
-    def note_targets_known(self) -> None:
+    def mark_targets_known(self) -> None:
         """Notes that the whole list of targets was read."""
         self.targets_known = True
         self._note_known()
 
     def _note_known(self) -> None:
-        if self.knows_enough:
+        if self.can_route:
             self.release_waiting()
 
     def release_waiting(self) -> None:
@@ -153,18 +153,18 @@
         self.wait_over = anyio.Event()
 
     @property
-    def knows_enough(self) -> bool:
+    def can_route(self) -> bool:
         """Whether requests can be routed at all."""
         return self.table is not None and self.targets_known
 
-    async def wait_known(self, now: float) -> None:
+    async def wait_until_routable(self, now: float) -> None:
         """Returns when requests can be routed, or soon will not be.
 
         A host that cannot reach the store must not hold up its callers: only
         a process that has just started lets them wait, until the store fails
         or the first moments are over.
         """
-        if self.knows_enough:
+        if self.can_route:
             return
         left_s = self.started_at + _FIRST_MOMENTS_S - now
         if left_s <= 0.0 or self.is_store_lost:
@@ -174,7 +174,7 @@
 
     def budget(self, pool: str) -> retry_budget.RetryBudget:
         """Returns this host's part of a pool's retry budget."""
-        extra = self.settings.retry_extra / self.hosts
+        extra = self.settings.retry_extra / self.cluster_size
         budget = self.budgets.get(pool)
         if budget is None:
             budget = self.budgets[pool] = retry_budget.RetryBudget(
@@ -189,7 +189,7 @@
         """Notes that the store cannot be read."""
         self.is_store_lost = True
         self.targets.store_lost()
-        if not self.knows_enough:
+        if not self.can_route:
             self.release_waiting()
         _logger.warning(
             "store lost", extra={"event": "store_lost", "reason": reason}
@@ -214,7 +214,7 @@
         """The age of that knowledge up to which the host is ready, seconds."""
         return self.settings.revoke_ms / 1000.0 * _READY_SHARE
 
-    def told_age_s(self, now: float) -> float | None:
+    def rounded_age_s(self, now: float) -> float | None:
         """Returns the age of what is known, for a log line; None before.
 
         Logs are JSON, which has no number for what was never read.
@@ -230,7 +230,7 @@
 
     def not_ready_reason(self, now: float) -> str:
         """Returns why callers should be sent elsewhere; empty when ready."""
-        if self.draining:
+        if self.is_draining:
             return "stopping"
         if self.table is None:
             return "no configuration known"
--- a/hillthread/coordination/gateway/store/host_registry.py
+++ b/hillthread/coordination/gateway/store/host_registry.py
@@ -103,7 +103,7 @@
             listed: Returns this host's entry in the store; empty if it has
                 none. It may be that of an earlier process.
         """
-        spread_s = compute_rewrite_spread_s(self.site.hosts)
+        spread_s = compute_rewrite_spread_s(self.site.cluster_size)
         await anyio.sleep(random.uniform(0.0, spread_s))
         wanted = self._own_entry()
         if listed() == _encode(wanted):
@@ -162,7 +162,7 @@
             extra={
                 "event": "hosts",
                 "host": record.key,
-                "hosts": self.site.hosts,
+                "hosts": self.site.cluster_size,
             },
         )
 
@@ -176,9 +176,11 @@
         Until those are known that started with this one, no fewer than are
         assumed at the start: each would take too large a part.
         """
-        least = 1 if self.hosts_settled.is_set() else site_lib.DEFAULT_HOSTS
-        self.site.hosts = max(least, len(self.source.hosts))
-        self.site.neighbours = self.source.count_neighbours()
+        least = (
+            1 if self.hosts_settled.is_set() else site_lib.DEFAULT_CLUSTER_SIZE
+        )
+        self.site.cluster_size = max(least, len(self.source.hosts))
+        self.site.neighbour_count = self.source.count_neighbours()
 
 
 def _encode(entry: feed_source.HostEntry) -> bytes:
--- a/tests/coordination/gateway/orders/test_rollout.py
+++ b/tests/coordination/gateway/orders/test_rollout.py
@@ -221,7 +221,7 @@
             engine.lost_orders.extend([math.inf] * 50)
             scene.name_weights(2)
             await scene.until(lambda: engine.orders_seen == 1)
-            scene.site.draining = scene.site.closing = True
+            scene.site.is_draining = scene.site.is_closing = True
             await scene.program.rollout.lease.release()
             await anyio.sleep(2.5)
             self.assertEqual(engine.orders_seen, 1)
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -264,7 +264,7 @@
         async def story(scene):
             reader = await second_host(scene)
             await scene.until(lambda: "h1" in reader.source.hosts)
-            scene.site.draining = True
+            scene.site.is_draining = True
             read_from(reader, "h1")
             scene.configure(routes=[])
             await scene.until(lambda: reader.site.table.position == 2)
--- a/tests/coordination/gateway/peers/test_work_feed.py
+++ b/tests/coordination/gateway/peers/test_work_feed.py
@@ -117,7 +117,7 @@
                 )
             )
             for host in (program, other):
-                host.site.hosts = 1_000  # each may tell little directly
+                host.site.cluster_size = 1_000  # each may tell little directly
             prompts = 10
             for _ in range(prompts):
                 await scene.call(long_prompt(scene))
@@ -148,7 +148,7 @@
             )
             gone = entry._replace(name=ranked_before, feed="127.0.0.1:9")
             program.source.put(gone)
-            scene.site.hosts = 1_000
+            scene.site.cluster_size = 1_000
             now = anyio.current_time()
             self.assertFalse(program.work.gatherer.is_gatherer(now))
             await scene.call(long_prompt(scene))
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -269,7 +269,7 @@
             scene.site.settings = msgspec.structs.replace(
                 scene.site.settings, retry_extra=1.0, retry_ratio=0.0
             )
-            scene.site.hosts = 1
+            scene.site.cluster_size = 1
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 500)
             self.assertEqual(len(scene.runs()), 1)
@@ -378,7 +378,7 @@
         async def story(scene):
             for target in scene.plain:
                 target.always = standin.Fail()
-            scene.site.hosts = 8
+            scene.site.cluster_size = 8
             for _ in range(40):
                 await scene.call(scene.request("/again/x"))
                 for target in scene.plain:
--- a/tests/coordination/gateway/serving/test_kept_connections.py
+++ b/tests/coordination/gateway/serving/test_kept_connections.py
@@ -39,7 +39,7 @@
                 await scene.until(
                     lambda p=program: p.site.table.pool("plain").max_connections
                 )
-                await scene.until(lambda p=program: p.site.hosts == 3)
+                await scene.until(lambda p=program: p.site.cluster_size == 3)
             target = scene.plain[0]
             released = anyio.Event()
             target.always = scene_lib.platform_target.Held(released)
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -255,13 +255,15 @@
                 anyio.Event()
             )  # as before its first entry
             program.hosts._count()
-            self.assertEqual(scene.site.hosts, site_lib.DEFAULT_HOSTS)
+            self.assertEqual(
+                scene.site.cluster_size, site_lib.DEFAULT_CLUSTER_SIZE
+            )
             await restore(scene, backup)
             feed = program.feed_server.address
             await scene.until(
                 lambda: scene.store.values("keyed.hosts")["h1"]["feed"] == feed
             )
-            await scene.until(lambda: scene.site.hosts == 1)
+            await scene.until(lambda: scene.site.cluster_size == 1)
 
         play(story)
 
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -209,7 +209,7 @@
 
     def test_host_without_the_store_sends_callers_elsewhere(self):
         async def story(scene):
-            scene.site.neighbours = 2
+            scene.site.neighbour_count = 2
             age_s = scene.site.greatest_age_s + 0.1
             scene.store.faults.silent = True
             scene.site.freshness.known_until = time.monotonic() - age_s
@@ -225,7 +225,7 @@
         async def story(scene):
             entry = {"data_centre": "there", "feed": "127.0.0.1:1"}
             scene.store.put("keyed.hosts", "h2", entry)
-            await scene.until(lambda: scene.site.hosts == 2)
+            await scene.until(lambda: scene.site.cluster_size == 2)
             age_s = scene.site.greatest_age_s + 0.1
             scene.store.faults.silent = True
             scene.site.freshness.known_until = time.monotonic() - age_s
@@ -285,7 +285,7 @@
             entry = {"data_centre": "there", "feed": "127.0.0.1:1"}
             for name in ("h2", "h3"):
                 scene.store.put("keyed.hosts", name, entry)
-            await scene.until(lambda: scene.site.hosts == 3)
+            await scene.until(lambda: scene.site.cluster_size == 3)
             self.assertEqual(
                 scene.site.budget("plain").extra,
                 scene.site.settings.retry_extra / 3,
@@ -442,7 +442,7 @@
     def test_host_about_to_end_refuses_what_it_could_not_finish(self):
         async def story(scene):
             scene.tasks.start_soon(scene.program.drain, time.monotonic())
-            await scene.until(lambda: scene.site.closing)
+            await scene.until(lambda: scene.site.is_closing)
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(answer.head.get(b"connection"), b"close")
@@ -502,7 +502,7 @@
                 b"x-request-id: slow\r\ncontent-length: 5\r\n\r\n"
             )
             scene.tasks.start_soon(stop)
-            await scene.until(lambda: scene.site.closing)
+            await scene.until(lambda: scene.site.is_closing)
             await anyio.sleep(0.2)
             self.assertFalse(stopped.is_set())
             await connection.stream.send(b"hello")
