--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -164,9 +164,9 @@
             self.work,
             tasks,
         )
-        self.site.target_gone = self._close_idle
-        self.site.target_forgotten = self.limits.forget
-        self.site.target_ended = self.quarantine.record_target_end
+        self.site.on_target_withdrawn = self._close_idle
+        self.site.on_target_forgotten = self.limits.forget
+        self.site.on_target_terminated = self.quarantine.record_target_end
         self.server = http1_server.Server(
             settings_lib.split_address(settings.listen),
             self.gateway.handle,
@@ -464,7 +464,7 @@
                 "store_calls": self.store.calls,
                 "reads": self.metrics.count_store_calls(),
                 "targets": len(self.site.targets.entries),
-                "ejected": self.site.ejected(now),
+                "ejected": self.site.ejected_targets(now),
                 "connections_opened": dict(self.pool.opened),
                 "keep_told_s": dict(self.pool.keep_told),
                 "hosts": self.site.cluster_size,
--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -80,7 +80,7 @@
         rank = self.hosts.get_duty_rank(_ROLE)
         if self.lease.is_holder or rank < succession.WATCHING_HOST_COUNT:
             return False
-        return now - self.site.load_told_at < _MAX_NOTICE_GAP_S
+        return now - self.site.last_load_notice_at < _MAX_NOTICE_GAP_S
 
     async def acquire_or_renew(self) -> bool:
         """Acquires or renews the lease if due; returns whether to give orders.
--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -280,7 +280,7 @@
         report = await orders.read_report(self.pool, target)
         if report is None:
             return None
-        if not self.site.take_report(target.name, model, report):
+        if not self.site.apply_report(target.name, model, report):
             return None
         return report
 
--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -136,7 +136,7 @@
 
         Many engines load at once: what is told of them goes in one packet.
         """
-        self.site.take_weights_notice(notice, clock.now())
+        self.site.apply_weights_notice(notice, clock.now())
         if not self.has_no_peers():
             self._weights.append(notice)
             self._gathered.set()
@@ -402,9 +402,9 @@
         """Has the site take in what a packet tells."""
         for notice in packet.work:
             if notice.origin != self._origin:
-                self.site.take_notice(notice, now)
+                self.site.apply_work_notice(notice, now)
         for notice in packet.weights:
-            self.site.take_weights_notice(notice, now)
+            self.site.apply_weights_notice(notice, now)
         for suspect in packet.suspects:
             self.apply_suspect(suspect)
         for limit in packet.limits:
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -252,7 +252,7 @@
         finally:
             self._targets_being_read.discard(target.name)
         if report is not None:
-            self.site.take_report(target.name, model, report)
+            self.site.apply_report(target.name, model, report)
 
 
 def _build_log_fields(
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -281,5 +281,5 @@
             parts[-1].tokens,
             0,
         )
-        self.site.note_prompt(target, notice)
+        self.site.record_prompt(target, notice)
         self.context.work.notify_work(notice)
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -68,10 +68,10 @@
         self.states: dict[str, target_state.TargetState] = {}
         self.backoffs = backoffs.Backoffs()
         self.weights = weights.WeightsTracker()
-        self.load_told_at = float("-inf")
-        self.target_gone: Callable[[str], None] = _ignore
-        self.target_forgotten: Callable[[str], None] = _ignore
-        self.target_ended: Callable[[str, str], None] = _ignore_end
+        self.last_load_notice_at = float("-inf")
+        self.on_target_withdrawn: Callable[[str], None] = _ignore
+        self.on_target_forgotten: Callable[[str], None] = _ignore
+        self.on_target_terminated: Callable[[str, str], None] = _ignore_end
 
     def put_target(self, incarnation: str, payload: bytes) -> None:
         """Takes in an entry of the list of targets.
@@ -131,7 +131,9 @@
         self._note_target(name, target_list.TargetChange.LEAVING, source)
         entry = self.targets.entries.get(name)
         if entry is not None:
-            self.target_gone(entry.target.address)  # idle connections only
+            self.on_target_withdrawn(
+                entry.target.address
+            )  # idle connections only
         return True
 
     def request_backoff(self, name: str, seconds: float, now: float) -> None:
@@ -173,7 +175,7 @@
                 },
             )
 
-    def take_report(
+    def apply_report(
         self, name: str, model: str, report: targets_lib.EngineReport
     ) -> bool:
         """Takes in the weights that an engine reports of itself.
@@ -199,19 +201,21 @@
             self.weights.update_from_report(name, model, report.weights[model])
         return True
 
-    def take_notice(self, notice: work_notice.WorkNotice, now: float) -> None:
+    def apply_work_notice(
+        self, notice: work_notice.WorkNotice, now: float
+    ) -> None:
         """Takes in that another host sends work to an engine."""
         name = self.targets.name_of(notice.engine)
         if name is None:
             return  # not listed here yet, gone, or of an earlier start
         self.state(name).load.add_peer_prefill(notice.tokens, now)
-        self.note_prompt(name, notice)
+        self.record_prompt(name, notice)
 
-    def take_weights_notice(
+    def apply_weights_notice(
         self, notice: work_notice.WeightsNotice, now: float
     ) -> None:
         """Takes in that an engine loads weights, or holds them now."""
-        self.load_told_at = now
+        self.last_load_notice_at = now
         name = self.targets.name_of(notice.engine)
         if name is None:
             return  # not listed here yet, gone, or of an earlier start
@@ -222,7 +226,7 @@
         state.end_load()
         self.observe_weights(name, notice.model, notice.version)
 
-    def note_prompt(self, name: str, notice: work_notice.WorkNotice) -> None:
+    def record_prompt(self, name: str, notice: work_notice.WorkNotice) -> None:
         """Notes that an engine keeps a prompt that is sent to it."""
         self.state(name).warm.add_prompt(
             notice.scope,
@@ -296,28 +300,28 @@
         self._note_target(name, change)
         if change is target_list.TargetChange.GONE and entry is not None:
             self._forget(name, entry.target.address)
-            self.target_ended(name, "it is not listed any more")
+            self.on_target_terminated(name, "it is not listed any more")
 
     def _note_successor(self, entry: target_list.ListedTarget) -> None:
         """Notes that whoever had the address of a new target has ended."""
         for name, other in self.targets.entries.items():
             is_other = name != entry.target.name
             if is_other and other.target.address == entry.target.address:
-                self.target_ended(name, "another has its address")
+                self.on_target_terminated(name, "another has its address")
 
     def _forget_start(self, name: str, address: str) -> None:
         """Forgets what held for the earlier start of a target."""
         self.backoffs.forget(name)
         self._forget(name, address)
-        self.target_ended(name, "it started again")
+        self.on_target_terminated(name, "it started again")
 
     def _forget(self, name: str, address: str) -> None:
         self.states.pop(name, None)
         self.weights.forget(name)
-        self.target_forgotten(name)
-        self.target_gone(address)
+        self.on_target_forgotten(name)
+        self.on_target_withdrawn(address)
 
-    def ejected(self, now: float) -> list[str]:
+    def ejected_targets(self, now: float) -> list[str]:
         """Returns the targets that get no requests because they failed."""
         return [
             name
--- a/tests/coordination/gateway/orders/test_weights_notices.py
+++ b/tests/coordination/gateway/orders/test_weights_notices.py
@@ -61,13 +61,13 @@
             (engine,) = scene.engines
             engine.load_s = _LOAD_S
             notices = []
-            original_of_other = other.site.take_weights_notice
-            other.site.take_weights_notice = lambda notice, now: (
+            original_of_other = other.site.apply_weights_notice
+            other.site.apply_weights_notice = lambda notice, now: (
                 notices.append(notice),
                 original_of_other(notice, now),
             )
-            original = scene.site.take_weights_notice
-            scene.site.take_weights_notice = lambda notice, now: (
+            original = scene.site.apply_weights_notice
+            scene.site.apply_weights_notice = lambda notice, now: (
                 notices.append(notice),
                 original(notice, now),
             )
@@ -121,7 +121,7 @@
                 9,
                 False,
             )
-            scene.site.take_weights_notice(notice, 0.0)
+            scene.site.apply_weights_notice(notice, 0.0)
             self.assertEqual(
                 scene.site.weights.held_version(engine.name, "m"), 1
             )
--- a/tests/coordination/gateway/serving/test_target_announcements.py
+++ b/tests/coordination/gateway/serving/test_target_announcements.py
@@ -190,7 +190,7 @@
             engine.announces_leaving = True
             target = scene.site.targets.entries[engine.name].target
             report = await orders.read_report(scene.program.pool, target)
-            scene.site.take_report(engine.name, "m", report)
+            scene.site.apply_report(engine.name, "m", report)
             self.assertTrue(scene.site.targets.entries[engine.name].leaving)
 
         scene_lib.play(scenario)
--- a/tests/coordination/gateway/test_restarts.py
+++ b/tests/coordination/gateway/test_restarts.py
@@ -156,7 +156,7 @@
         state.is_unreachable = True
         state.refused_until = 1e9
         self.site.observe_weights("e", "m", 9)
-        self.site.note_prompt("e", self.notice(1_000))
+        self.site.record_prompt("e", self.notice(1_000))
         self.site.put_target("e", _encode(born=2_000))
         state = self.site.state("e")
         self.assertIs(state.breaker.state(0.0), health.BreakerState.CLOSED)
@@ -166,9 +166,9 @@
 
     def test_notices_meant_for_the_earlier_start_change_nothing(self):
         self.site.put_target("e", _encode(born=2_000))
-        self.site.take_notice(self.notice(1_000), 0.0)
+        self.site.apply_work_notice(self.notice(1_000), 0.0)
         self.assertEqual(self.site.state("e").load.queued_tokens(0.0), 0.0)
-        self.site.take_notice(self.notice(2_000), 0.0)
+        self.site.apply_work_notice(self.notice(2_000), 0.0)
         self.assertGreater(self.site.state("e").load.queued_tokens(0.0), 0.0)
 
     def test_reports_of_the_earlier_start_change_nothing(self):
@@ -178,7 +178,7 @@
                 {"models": [{"name": "m", "version": 8}], "born": 1_000}
             )
         )
-        self.assertFalse(self.site.take_report("e", "m", late))
+        self.assertFalse(self.site.apply_report("e", "m", late))
         self.assertEqual(self.site.weights.held_version("e", "m"), 3)
 
     def test_report_of_a_later_start_is_believed_before_the_list(self):
@@ -188,7 +188,7 @@
                 {"models": [{"name": "m", "version": 5}], "born": 2_000}
             )
         )
-        self.assertTrue(self.site.take_report("e", "m", report))
+        self.assertTrue(self.site.apply_report("e", "m", report))
         self.assertEqual(self.site.weights.held_version("e", "m"), 5)
         self.assertTrue(self.site.state("e").is_available(0.0))
         self.site.put_target("e", _encode(state="draining"))  # late
