--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -437,7 +437,7 @@
             self.metrics.ready.set(not reason)
             self.metrics.suspects.set(self.site.quarantine.suspect_count)
             self._count_unavailable(now)
-            self.metrics.age.set(self.site.freshness.age(now))
+            self.metrics.store_age.set(self.site.freshness.age(now))
             self.metrics.connections.set(self.pool.opened.total())
             if now >= status_at:
                 status_at = now + _STATUS_S
--- a/hillthread/coordination/gateway/metrics.py
+++ b/hillthread/coordination/gateway/metrics.py
@@ -34,10 +34,10 @@
         self.suspects = self.gauge(
             "suspects", "Requests under which targets ended."
         )
-        self.limited = self.gauge(
+        self.limited_targets = self.gauge(
             "targets_limited", "Targets that named a limit of requests."
         )
-        self.limit_passes = self.counter(
+        self.limit_skips = self.counter(
             "limit_passes",
             "Requests not sent to the target chosen, because of its limit.",
             [],
@@ -69,22 +69,22 @@
         self.loads = self.counter(
             "loads", "Loads of weights, by how they ended.", ["outcome"]
         )
-        self.old_weights = self.counter(
+        self.outdated_weights_choices = self.counter(
             "old_weights_choices",
             "Targets chosen with older weights than named, by grace.",
             ["grace"],
         )
-        self.behind = self.gauge(
+        self.outdated_targets = self.gauge(
             "targets_behind", "Targets with older weights than named."
         )
         self.connections = self.gauge(
             "target_connections_opened", "Connections opened to targets."
         )
         self.inflight = self.gauge("inflight", "Requests being served.")
-        self.position = self.gauge(
+        self.configuration_version = self.gauge(
             "configuration_version", "Configuration in force."
         )
-        self.age = self.gauge(
+        self.store_age = self.gauge(
             "store_age_seconds", "Seconds since the last proven read."
         )
         self.store_era = self.gauge(
@@ -109,14 +109,14 @@
             "From a request's arrival to the first byte of its answer.",
             ["tenant", "route"],
         )
-        self.whole = self.histogram(
+        self.answer_time = self.histogram(
             "answer_seconds",
             "From a request's arrival to the end of its answer.",
             ["route"],
         )
         self._labels = metric_set.BoundedLabels()
 
-    def note_quota_refusal(self, tenant: str) -> None:
+    def count_quota_refusal(self, tenant: str) -> None:
         """Counts a request that its tenant's quota did not allow."""
         if not self._labels.admit((tenant, "")):
             tenant = metric_set.OTHER
@@ -130,11 +130,11 @@
             tenant = route = metric_set.OTHER
         self.first_byte.labels(tenant, route).observe(seconds)
 
-    def observe_whole(self, route: str, seconds: float) -> None:
+    def observe_answer_time(self, route: str, seconds: float) -> None:
         """Notes the time to a whole answer."""
         if not self._labels.admit(("", route)):
             route = metric_set.OTHER
-        self.whole.labels(route).observe(seconds)
+        self.answer_time.labels(route).observe(seconds)
 
     def count_choices(self) -> dict[str, int]:
         """Returns how many targets were chosen so far, by reason."""
--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -156,7 +156,7 @@
         answer: http1_server.CallerAnswer,
     ) -> None:
         seconds = clock.now() - request.caller.arrived
-        self.metrics.observe_whole(request.route.name, seconds)
+        self.metrics.observe_answer_time(request.route.name, seconds)
         request.log.note(
             "answered", seconds=round(seconds, 4), status=answer.status
         )
--- a/hillthread/coordination/gateway/serving/limit_keeper.py
+++ b/hillthread/coordination/gateway/serving/limit_keeper.py
@@ -91,7 +91,7 @@
         """Returns whether a request may be sent to the target chosen for it."""
         if self.limits.admit(target, now):
             return True
-        self.site.metrics.limit_passes.inc()
+        self.site.metrics.limit_skips.inc()
         return False
 
     def refusal(self, targets: list[str], now: float) -> errors.RefusalError:
@@ -132,7 +132,7 @@
         return self.limits.statuses(clock.now())
 
     def _update_metric(self) -> None:
-        self.site.metrics.limited.set(len(self.limits))
+        self.site.metrics.limited_targets.set(len(self.limits))
 
     def _record_change(
         self, target: str, per_s: float | None, source: str
--- a/hillthread/coordination/gateway/serving/pool_view.py
+++ b/hillthread/coordination/gateway/serving/pool_view.py
@@ -148,7 +148,7 @@
         lag = self.lags.get(name) if name else None
         if lag is None:
             return None
-        self.site.metrics.old_weights.labels(lag.grace).inc()
+        self.site.metrics.outdated_weights_choices.labels(lag.grace).inc()
         return {
             "held": lag.held,
             "newer": lag.newer,
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -116,7 +116,7 @@
         if left > 0.0:
             return
         after_s = window.refuse(now, amount, self.site.cluster_size)
-        self.site.metrics.note_quota_refusal(name)
+        self.site.metrics.count_quota_refusal(name)
         raise _make_refusal(
             f"{name} has used its quota of {quota.rate_per_s:.0f} "
             f"{quota.unit} a second over all hosts, and {-left:.0f} more; "
--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -100,7 +100,7 @@
         self.table = adopted.build_routing_table()
         self.configuration = adopted
         self._note_known()
-        self.metrics.position.set(adopted.version)
+        self.metrics.configuration_version.set(adopted.version)
         _logger.info(
             "configuration in force",
             extra={
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -247,7 +247,7 @@
     def weights_status(self, now: float) -> dict[str, object]:
         """Returns what is known of weights, for a log line."""
         lags = self.weights.lags(now)
-        self.metrics.behind.set(len(lags))
+        self.metrics.outdated_targets.set(len(lags))
         return {
             "weights_named": {
                 model: {
