--- a/tests/coordination/gateway/orders/test_old_weights.py
+++ b/tests/coordination/gateway/orders/test_old_weights.py
@@ -43,13 +43,13 @@
             engine = scene.engines[0]
             engine.order_status = 409  # the engine never loads
             announced_at = time.monotonic()
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _wait_until(announced_at + 6.0)
-            scene.name_weights(3)
+            scene.announce_weights(3)
             await _wait_until(announced_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_weights_found_at_the_start_count_as_announced_long_ago(self):
         async def scenario(scene):
@@ -60,7 +60,7 @@
             )
             await self.assert_refused(scene)
 
-        scene_lib.play(scenario, engines=1, weights=2)
+        scene_lib.run_scenario(scenario, engines=1, weights=2)
 
     def test_weights_learned_of_late_count_from_their_announcement(self):
         async def scenario(scene):
@@ -69,39 +69,39 @@
             scene.store.faults.silent = True
             await anyio.sleep(3.0)  # a read in progress has ended by then
             announced_at = time.monotonic()
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _wait_until(announced_at + 3.0)
             scene.store.faults.silent = False
             await scene.until(lambda: "m" in scene.site.weights.newest)
             await _wait_until(announced_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_old_weights_serve_while_newer_ones_are_loaded(self):
         async def scenario(scene):
             engine = scene.engines[0]
             engine.order_status = 409
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: "m" in scene.site.weights.newest)
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
             self.assertEqual([run.weights for run in engine.runs], [1])
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_paused_host_counts_from_the_announcement(self):
         async def scenario(scene):
             scene.engines[0].order_status = 409
             await anyio.sleep(0.5)  # the store holds a read by now
             announced_at = time.monotonic()
-            scene.name_weights(2)
+            scene.announce_weights(2)
             time.sleep(6.0)  # noqa: ASYNC251 (pauses the host)
             await scene.until(lambda: "m" in scene.site.weights.newest)
             await _wait_until(announced_at + _FORBIDDEN_S + _MARGIN_S)
             await self.assert_refused(scene)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_expected_queue_time_counts_towards_the_limit(self):
         async def scenario(scene):
@@ -115,7 +115,7 @@
             second = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(second.head.status, 503)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_refusals_do_not_shorten_the_expected_wait(self):
         async def scenario(scene):
@@ -129,7 +129,7 @@
                 await anyio.sleep(0.2)
             self.assertGreaterEqual(scene.site.state("e0").first_byte_s, 0.6)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_waiting_request_ends_when_weights_become_too_old(self):
         for path in ("/resume/x", "/stream/x"):
@@ -150,7 +150,7 @@
                     await _wait_until(announced_at + 11.0)
                     self.assertEqual(engine.runs, [])
 
-                scene_lib.play(scenario, engines=1)
+                scene_lib.run_scenario(scenario, engines=1)
 
     def test_ended_waits_do_not_eject_the_target(self):
         async def scenario(scene):
@@ -174,7 +174,7 @@
             self.assertTrue(state.is_available(time.monotonic()))
             self.assertGreater(scene.program.pool.trust_s, 1.0)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_guessed_version_is_verified_with_the_target(self):
         async def scenario(scene):
@@ -196,15 +196,15 @@
             second = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(second.head.status, 200)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_limit_is_a_setting(self):
         async def scenario(scene):
             scene.engines[0].order_status = 409
             announced_at = time.monotonic()
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: "m" in scene.site.weights.newest)
             await _wait_until(announced_at + 4.0)
             await self.assert_refused(scene)
 
-        scene_lib.play(scenario, engines=1, version_ms=4_000)
+        scene_lib.run_scenario(scenario, engines=1, version_ms=4_000)
--- a/tests/coordination/gateway/orders/test_rollout.py
+++ b/tests/coordination/gateway/orders/test_rollout.py
@@ -49,77 +49,77 @@
                 scene.store.put("keyed.servers", name, entry)
             entries = scene.site.targets.entries
             await scene.until(lambda: len(entries) == _ENGINES)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _until_held(scene, scene.engines, 2)
 
-        scene_lib.play(scenario, engines=_ENGINES - 2, plain=0)
+        scene_lib.run_scenario(scenario, engines=_ENGINES - 2, plain=0)
 
     def test_silent_targets_do_not_delay_others(self):
         async def scenario(scene):
             first, second, *rest = _in_load_order(scene, 2)
             first.silent = second.silent = True
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _until_held(scene, rest, 2)
 
-        scene_lib.play(scenario, engines=_ENGINES, plain=0)
+        scene_lib.run_scenario(scenario, engines=_ENGINES, plain=0)
 
     def test_unanswered_orders_do_not_delay_others(self):
         async def scenario(scene):
             first, second, *rest = _in_load_order(scene, 2)
             for engine in (first, second):
                 engine.lost_orders.extend([math.inf] * 50)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _until_held(scene, rest, 2)
 
-        scene_lib.play(scenario, engines=_ENGINES, plain=0)
+        scene_lib.run_scenario(scenario, engines=_ENGINES, plain=0)
 
     def test_unanswered_order_is_repeated_after_other_targets(self):
         async def scenario(scene):
             first, second, *_ = _in_load_order(scene, 2)
             for engine in (first, second):
                 engine.lost_orders.append(math.inf)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _until_held(scene, scene.engines, 2)
             seen = sum(engine.orders_seen for engine in scene.engines)
             self.assertEqual(seen, _ENGINES + 2)
 
-        scene_lib.play(scenario, engines=_ENGINES, plain=0)
+        scene_lib.run_scenario(scenario, engines=_ENGINES, plain=0)
 
     def test_order_executed_late_is_not_sent_twice(self):
         async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.append(0.3)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _until_held(scene, [engine], 2)
             await anyio.sleep(1.0)
             self.assertEqual(engine.orders_seen, 1)
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_repeated_order_makes_the_late_one_fail(self):
         async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.append(2.0)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await _until_held(scene, [engine], 2)
             await anyio.sleep(1.5)
             self.assertEqual(len(engine.orders), 1)
             self.assertEqual(engine.orders[0]["expectedRevision"], 0)
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_overtaken_versions_are_skipped(self):
         async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.append(math.inf)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: engine.orders_seen == 1)
-            scene.name_weights(3)
+            scene.announce_weights(3)
             await _until_held(scene, [engine], 3)
             versions = [order["version"] for order in engine.orders]
             self.assertEqual(versions, [3])
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_oldest_weights_are_replaced_first(self):
         async def scenario(scene):
@@ -133,19 +133,19 @@
             )
             for engine in scene.engines:
                 engine.load_s = 0.5
-            scene.name_weights(3)
+            scene.announce_weights(3)
             await scene.until(
                 lambda: sum(len(e.orders) for e in scene.engines) == 2
             )
             self.assertEqual(len(oldest.orders), 1)
 
-        scene_lib.play(scenario, engines=_ENGINES, plain=0)
+        scene_lib.run_scenario(scenario, engines=_ENGINES, plain=0)
 
     def test_concurrent_loads_reach_but_do_not_exceed_the_limit(self):
         async def scenario(scene):
             for engine in scene.engines:
                 engine.load_s = 0.5
-            scene.name_weights(2)
+            scene.announce_weights(2)
             most = 0
             with anyio.fail_after(5.0):
                 while any(e.weights < 2 for e in scene.engines):
@@ -154,18 +154,18 @@
                     await anyio.sleep(0.005)
             self.assertEqual(most, rollout.max_concurrent_loads(_ENGINES))
 
-        scene_lib.play(scenario, engines=_ENGINES, plain=0)
+        scene_lib.run_scenario(scenario, engines=_ENGINES, plain=0)
 
     def test_replaced_incarnation_is_sent_one_order(self):
         async def scenario(scene):
             (engine,) = scene.engines
             engine.order_status = 421
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: engine.orders_seen > 0)
             await anyio.sleep(1.0)
             self.assertEqual(engine.orders_seen, 1)
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
 
 class SuccessionTest(unittest.TestCase):
@@ -183,7 +183,7 @@
             )
             await other.acquire_or_renew()
 
-        scene_lib.play(scenario, engines=1, plain=0, before=before)
+        scene_lib.run_scenario(scenario, engines=1, plain=0, before=before)
 
     def test_lease_of_a_killed_holder_is_waited_for(self):
         async def scenario(scene):
@@ -196,30 +196,30 @@
             taken_at = time.monotonic()
             self.assertTrue(await other.acquire_or_renew())
             self.assertEqual(other.contender.state.position, 1)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             (engine,) = scene.engines
             await scene.until(lambda: engine.order_log)
             waited_s = engine.order_log[0].at - taken_at
             self.assertGreater(waited_s, other.contender.ttl_s)
 
-        scene_lib.play(scenario, engines=1, plain=0, lease_ms=_LEASE_MS)
+        scene_lib.run_scenario(scenario, engines=1, plain=0, lease_ms=_LEASE_MS)
 
     def test_host_stops_after_a_fenced_order(self):
         async def scenario(scene):
             (engine,) = scene.engines
             engine.order_status = 412
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: engine.orders_seen > 0)
             await anyio.sleep(1.5)
             self.assertEqual(engine.orders_seen, 1)
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_stopping_host_does_not_acquire_the_lease(self):
         async def scenario(scene):
             (engine,) = scene.engines
             engine.lost_orders.extend([math.inf] * 50)
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: engine.orders_seen == 1)
             scene.site.is_draining = scene.site.is_closing = True
             await scene.program.rollout.lease.release()
@@ -227,4 +227,4 @@
             self.assertEqual(engine.orders_seen, 1)
             self.assertFalse(scene.program.rollout.lease.is_holder)
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
--- a/tests/coordination/gateway/orders/test_weights_notices.py
+++ b/tests/coordination/gateway/orders/test_weights_notices.py
@@ -38,7 +38,7 @@
         async def scenario(scene):
             for engine in scene.engines:
                 engine.load_s = _LOAD_S
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: any(e.busy for e in scene.engines))
             for _ in range(_PROMPT_COUNT):
                 answer = await scene.call(scene.prompt("/stream/x"))
@@ -51,7 +51,7 @@
                 lambda: all(e.weights == 2 for e in scene.engines)
             )
 
-        scene_lib.play(scenario, engines=3, plain=0)
+        scene_lib.run_scenario(scenario, engines=3, plain=0)
 
     def test_other_hosts_are_notified_of_a_load_and_its_end(self):
         """The list shows new weights only with the next heartbeat."""
@@ -71,7 +71,7 @@
                 notices.append(notice),
                 original(notice, now),
             )
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: len(notices) >= 2)
             self.assertEqual({each.loading for each in notices}, {True})
             self.assertEqual(engine.weights, 1)
@@ -81,7 +81,7 @@
                 state = site.state(engine.name)
                 self.assertLess(state.loading_until, anyio.current_time())
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_only_possible_successors_read_the_lease(self):
         """Hosts that are notified of loads know that some host gives orders.
@@ -99,7 +99,7 @@
                     # Long enough that others would read the lease and that
                     # hosts are notified of loads.
                     engine.load_s = 1.0
-                    scene.name_weights(2)
+                    scene.announce_weights(2)
                     await scene.until(lambda: engine.weights == 2)
                     read_to = [
                         program.rollout.lease.contender.state.position
@@ -110,7 +110,7 @@
                 with mock.patch.object(
                     succession, "WATCHING_HOST_COUNT", successor_count
                 ):
-                    scene_lib.play(scenario, engines=1, plain=0)
+                    scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_notice_for_an_earlier_start_is_ignored(self):
         async def scenario(scene):
@@ -126,7 +126,7 @@
                 scene.site.weights.held_version(engine.name, "m"), 1
             )
 
-        scene_lib.play(scenario, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
 
 class MissingEndNoticeTest(unittest.TestCase):
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -84,7 +84,7 @@
             self.assertEqual(len(pages), 1)
             self.assertIn(b"draining", b"".join(r.value for r in page.records))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_part_of_what_is_new_proves_nothing(self):
         async def story(scene):
@@ -114,7 +114,7 @@
                 lambda: scene.site.freshness.known_until > proven_at
             )
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_changes_come_through_another_host(self):
         async def story(scene):
@@ -132,7 +132,7 @@
             # The first host alone reads on: a few held calls.
             self.assertLess(scene.store.calls["log-read"] - calls, 12)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_change_is_in_force_in_time_though_the_source_is_cut_off(self):
         """Seen on a site of 8 hosts with a bound of 2 s on configurations.
@@ -157,7 +157,7 @@
             bound_s = reader.site.settings.config_ms / 1000.0
             self.assertLess(anyio.current_time() - cut_at, bound_s)
 
-        scene_lib.play(story, linked=True)
+        scene_lib.run_scenario(story, linked=True)
 
     def test_one_refused_read_holds_up_no_other(self):
         async def story(scene):
@@ -176,7 +176,7 @@
             mock.patch.object(host_lib, "_OPERATOR_WAIT_S", 60.0),
             mock.patch.object(store_follower, "_LONGEST_WAIT_S", 60.0),
         ):
-            scene_lib.play(story, revoke_ms=200_000)
+            scene_lib.run_scenario(story, revoke_ms=200_000)
 
     def test_host_that_lost_the_store_keeps_no_reader_waiting(self):
         for event in ("lost", "one read lost", "stops"):
@@ -221,7 +221,7 @@
                         # Nobody waited until the store was known to be lost.
                         self.assertFalse(scene.site.is_store_lost)
 
-                scene_lib.play(story)
+                scene_lib.run_scenario(story)
 
     def test_host_whose_source_lost_the_store_does_not_trust_its_age(self):
         async def story(scene):
@@ -237,7 +237,7 @@
             )
             self.assertLess(anyio.current_time() - lost_at, 1.8)
 
-        scene_lib.play(story, revoke_ms=1800)
+        scene_lib.run_scenario(story, revoke_ms=1800)
 
     def test_silent_connections_to_the_source_are_found_together(self):
         """The topic that is read most often tells of the others."""
@@ -258,7 +258,7 @@
             await scene.until(lambda: "p0" not in reader.site.targets.entries)
             self.assertLess(anyio.current_time() - silent_at, 2.0)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_host_reads_the_store_when_its_source_is_gone(self):
         async def story(scene):
@@ -269,7 +269,7 @@
             scene.configure(routes=[])
             await scene.until(lambda: reader.site.table.position == 2)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_host_that_joins_learns_from_another_one(self):
         """It reads the list of hosts, and the rest from one of these."""
@@ -287,7 +287,7 @@
         with mock.patch.object(
             feed_source.FeedSource, "pick", pick_the_other_one
         ):
-            scene_lib.play(story)
+            scene_lib.run_scenario(story)
 
     def test_host_that_is_listed_already_writes_nothing(self):
         async def story(scene):
@@ -307,7 +307,7 @@
             self.assertTrue(again.hosts_settled.is_set())
             self.assertEqual(scene.store.calls["log-append"], writes)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_host_that_finds_nobody_to_read_from_reads_the_store(self):
         async def story(scene):
@@ -324,4 +324,4 @@
         with mock.patch.object(
             feed_source.FeedSource, "pick", pick_the_other_one
         ):
-            scene_lib.play(story)
+            scene_lib.run_scenario(story)
--- a/tests/coordination/gateway/peers/test_work_feed.py
+++ b/tests/coordination/gateway/peers/test_work_feed.py
@@ -55,7 +55,7 @@
             await scene.until(lambda: other.work.received_packets == 2)
             self.assertEqual(scene.program.work.sent_packets, 2)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_notice_in_vain_stops_nothing(self):
         async def story(scene):
@@ -73,7 +73,7 @@
                 self.assertEqual(answer.head.status, 200)
             await scene.until(lambda: program.work.sent_packets == 3)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_notices_are_passed_on_while_others_are_told(self):
         """Hosts ended by themselves when both were sent at the same moment."""
@@ -105,7 +105,7 @@
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_with_many_hosts_all_is_gathered_and_nothing_lost(self):
         async def story(scene):
@@ -133,7 +133,7 @@
             # Of ten prompts at once most come in one packet.
             self.assertLess(other.work.received_packets, prompts)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_hosts_go_on_without_their_gatherer(self):
         """The next rank gathers when the first one is silent."""
@@ -157,7 +157,7 @@
                 lambda: program.work.gatherer.is_gatherer(anyio.current_time())
             )
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_what_is_gathered_is_bounded(self):
         async def story(scene):
@@ -174,7 +174,7 @@
             most = 0.5 * work_feed._GATHERED_PER_S
             self.assertLessEqual(kept, most + work_notice.MAX_WORK_NOTICES)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_what_a_host_hears_fits_its_share_for_control(self):
         notice = work_notice.WorkNotice(
--- a/tests/coordination/gateway/scene.py
+++ b/tests/coordination/gateway/scene.py
@@ -115,7 +115,7 @@
         self.configuration["version"] = self.version
         self.store.put("keyed.op", "config", self.configuration)
 
-    def name_weights(self, version) -> None:
+    def announce_weights(self, version) -> None:
         """Has the operator name new weights of the model."""
         named = {"model": "m", "version": version}
         self.store.put("keyed.op", "version/m", named)
@@ -221,7 +221,7 @@
         return [run.request_id for t in self.targets for run in t.runs]
 
 
-async def keep_caches(scene, count):
+async def start_cache_stores(scene, count):
     """Starts stores of KV cache and returns them when they are read."""
     stores = [
         platform_target.PlatformTargetStandin(f"k{n}", f"keep{n}")
@@ -248,7 +248,7 @@
 
 
 @contextlib.asynccontextmanager
-async def opened(engines=2, plain=2, slow_s=0.0, weights=0, **settings):
+async def open_scene(engines=2, plain=2, slow_s=0.0, weights=0, **settings):
     """Yields a running scene, or what is wrong in it.
 
     Args:
@@ -265,7 +265,7 @@
         try:
             scene.store.faults.slow_s = slow_s
             if weights:
-                scene.name_weights(weights)
+                scene.announce_weights(weights)
             await scene.start(**settings)
             yield scene
         except Exception as error:
@@ -275,7 +275,7 @@
         raise failure
 
 
-def play(story, **options):
+def run_scenario(story, **options):
     """Runs a story, an async function that takes a scene."""
 
     async def run():
@@ -283,7 +283,7 @@
             await played()
 
     async def played():
-        async with opened(**options) as scene:
+        async with open_scene(**options) as scene:
             await story(scene)
 
     clock.run(run)
--- a/tests/coordination/gateway/serving/test_deadly_requests.py
+++ b/tests/coordination/gateway/serving/test_deadly_requests.py
@@ -145,7 +145,7 @@
                 await anyio.sleep(PAUSE_S)
             self.assertLessEqual(count_runs(scene, DEADLY_BODY), MAX_CRASHES)
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
 
     def test_host_that_starts_later_holds_it(self):
         async def scenario(scene):
@@ -163,7 +163,7 @@
             self.assertEqual(statuses, [503] * 3)
             self.assertEqual(count_runs(scene, DEADLY_BODY), before)
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
 
     def test_host_without_notices_reads_it_from_the_store(self):
         async def scenario(scene):
@@ -180,7 +180,7 @@
                 read_quarantine_status(unnotified, DEADLY_BODY).held_s, 20.0
             )
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
 
     def test_operator_lists_and_clears_it(self):
         async def scenario(scene):
@@ -206,7 +206,7 @@
                 )
             )
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
 
 
 class HarmlessRequestTest(unittest.TestCase):
@@ -228,7 +228,7 @@
             statuses = await call_many(scene, hosts, 20, b"harmless")
             self.assertEqual(statuses, [200] * 20)
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
 
     def test_request_alone_on_three_crashed_engines_is_served_soon(self):
         """Guards against a long hold because no other request can be the cause.
@@ -260,7 +260,7 @@
             served = statuses.count(200) / len(statuses)
             self.assertGreaterEqual(served, SERVED_SHARE)
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
 
     def test_requests_beside_a_deadly_one_are_served(self):
         async def scenario(scene):
@@ -278,7 +278,7 @@
                     statuses = await call_many(scene, hosts, 3, body)
                     self.assertEqual(statuses, [200] * 3)
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
 
     def test_cut_answer_of_a_live_target_is_no_crash(self):
         async def scenario(scene):
@@ -296,7 +296,7 @@
                 )
             )
 
-        scene_lib.play(scenario, engines=2)
+        scene_lib.run_scenario(scenario, engines=2)
 
     def test_planned_departure_is_no_crash(self):
         async def scenario(scene):
@@ -315,7 +315,7 @@
                 read_quarantine_status(scene.program, b"harmless").ends, 0
             )
 
-        scene_lib.play(scenario, engines=1, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=1, before=make_targets_crash)
 
     def test_another_organisation_is_not_refused(self):
         async def scenario(scene):
@@ -328,4 +328,4 @@
             )
             self.assertEqual(await call(scene, hosts[0], request), 200)
 
-        scene_lib.play(scenario, engines=5, before=make_targets_crash)
+        scene_lib.run_scenario(scenario, engines=5, before=make_targets_crash)
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -29,7 +29,7 @@
             state = breaker.state(time.monotonic())
             self.assertIs(state, health.BreakerState.OPEN)
 
-        scene_lib.play(story, plain=1)
+        scene_lib.run_scenario(story, plain=1)
 
     def test_answer_is_relayed_unchanged_and_key_is_removed(self):
         async def story(scene):
@@ -47,7 +47,7 @@
             self.assertEqual(run.request.get(b"authorization"), b"")
             self.assertLessEqual(int(run.request.get(b"x-deadline-ms")), 2000)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_request_that_may_have_run_is_not_repeated(self):
         for behaviour in (
@@ -67,7 +67,7 @@
                     self.assertEqual(len(scene.runs()), 1)
                     self.assertFalse(answer.head.get(b"x-response-stamp"))
 
-                scene_lib.play(story)
+                scene_lib.run_scenario(story)
 
     def test_refused_request_is_sent_to_another_target(self):
         async def story(scene):
@@ -82,7 +82,7 @@
             second = await scene.call(scene.request("/once/x"))
             self.assertEqual(second.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_unreachable_target_is_skipped(self):
         async def story(scene):
@@ -96,7 +96,7 @@
                 answer = await scene.call(scene.request("/once/x"))
                 self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_idempotent_request_is_retried_on_another_target(self):
         for behaviour in (
@@ -119,7 +119,7 @@
                     self.assertEqual(statuses, {200})
                     self.assertEqual(len(good.runs), 4)
 
-                scene_lib.play(story)
+                scene_lib.run_scenario(story)
 
     def test_failure_of_all_targets_is_relayed_with_its_receipt(self):
         async def story(scene):
@@ -130,7 +130,7 @@
             self.assertTrue(answer.head.get(b"x-response-stamp"))
             self.assertEqual(len(scene.runs()), 2)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_unframed_answer_is_complete_when_its_connection_ends(self):
         async def story(scene):
@@ -140,7 +140,7 @@
             self.assertEqual(answer.head.status, 200)
             self.assertIn(b"answer of p", answer.body)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_surplus_answer_is_never_relayed(self):
         for delay_s in (0.0, 0.03):
@@ -155,7 +155,7 @@
                         self.assertIn(b"answer of p", answer.body)
                         await anyio.sleep(0.05)
 
-                scene_lib.play(story)
+                scene_lib.run_scenario(story)
 
     def test_deadline_gives_a_final_answer_with_the_run_state(self):
         async def story(scene):
@@ -170,7 +170,7 @@
             self.assertEqual(len(scene.runs()), 1)
             await scene.until(lambda: any(t.left for t in scene.plain))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_complete_answer_is_relayed_after_the_deadline(self):
         """The deadline passes while an answer is written to the caller."""
@@ -194,7 +194,7 @@
             self.assertEqual(answer.head.status, 200)
             self.assertTrue(answer.head.get(b"x-response-stamp"))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_answer_that_arrives_just_after_the_deadline_is_relayed(self):
         """A target's time starts when the request reaches it."""
@@ -207,7 +207,7 @@
             )
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_failure_is_relayed_when_a_later_attempt_brings_no_answer(self):
         for later in (standin.Hang(), standin.Vanish(), standin.Refuse()):
@@ -223,7 +223,7 @@
                     self.assertEqual(answer.head.status, 500)
                     self.assertTrue(answer.head.get(b"x-response-stamp"))
 
-                scene_lib.play(story)
+                scene_lib.run_scenario(story)
 
     def test_failure_is_relayed_when_keys_can_no_longer_be_checked(self):
         async def story(scene):
@@ -240,7 +240,7 @@
             self.assertEqual(answer.head.status, 500)
             self.assertTrue(answer.head.get(b"x-response-stamp"))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_lost_run_is_not_reported_as_not_run(self):
         """The store is lost after a run whose outcome is unknown."""
@@ -259,7 +259,7 @@
             self.assertEqual(answer.head.status, 502)
             self.assertIn(b'"run":"unknown"', answer.body)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_failure_is_relayed_when_the_retry_budget_is_exhausted(self):
         async def story(scene):
@@ -274,7 +274,7 @@
             self.assertEqual(answer.head.status, 500)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(story, plain=3)
+        scene_lib.run_scenario(story, plain=3)
 
     def test_request_that_reached_no_target_is_refused_as_not_run(self):
         async def story(scene):
@@ -291,7 +291,7 @@
             self.assertIn(b'"run":"not_run"', answer.body)
             self.assertTrue(answer.head.get(b"retry-after"))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     async def list_only(self, scene, address):
         """Lists just one target of the plain service, at the given address."""
@@ -322,7 +322,7 @@
             self.assertEqual(answer.head.status, 502)
             self.assertIn(b'"run":"unknown"', answer.body)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_refusal_with_a_cut_off_body_is_still_a_refusal(self):
         async def story(scene):
@@ -332,7 +332,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertIn(b'"run":"not_run"', answer.body)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_request_without_time_to_be_served_is_refused_at_once(self):
         async def story(scene):
@@ -343,7 +343,7 @@
             self.assertIn(b'"run":"not_run"', answer.body)
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_deadline_header_has_the_time_left_when_the_request_is_sent(self):
         async def story(scene):
@@ -360,7 +360,7 @@
             told_ms = int(run.request.get(b"x-deadline-ms"))
             self.assertLessEqual(told_ms, 700)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_connection_to_the_target_is_closed_when_the_caller_leaves(self):
         async def story(scene):
@@ -372,7 +372,7 @@
             await connection.close()
             await scene.until(lambda: any(t.left for t in scene.plain))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_retries_stop_when_the_budget_is_exhausted(self):
         async def story(scene):
@@ -387,7 +387,7 @@
             # the extra budget.
             self.assertLessEqual(len(scene.runs()), 40 + 8 + 50 / 8)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class StreamTest(unittest.TestCase):
@@ -399,7 +399,7 @@
             whole = b"".join(engine.event(n) for n in range(engine.events))
             self.assertEqual(answer.body, whole)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_stream_is_resumed_on_another_engine_within_one_answer(self):
         async def story(scene):
@@ -416,7 +416,7 @@
             self.assertEqual(receipt, f"stamp-{warm.name}")
             self.assertEqual(other.runs[-1].request.get(b"last-event-id"), b"1")
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_stream_that_cannot_be_resumed_is_never_ended_cleanly(self):
         async def story(scene):
@@ -428,7 +428,7 @@
             with self.assertRaises(http1_client.CallError):
                 await scene.call(scene.prompt("/resume/x"))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_same_prefix_goes_to_one_engine(self):
         async def story(scene):
@@ -436,7 +436,7 @@
                 await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(sum(1 for e in scene.engines if e.runs), 1)
 
-        scene_lib.play(story, engines=3)
+        scene_lib.run_scenario(story, engines=3)
 
     def test_prompt_that_would_wait_longer_than_its_aim_is_refused(self):
         """Retry-After covers the time to read what other hosts sent."""
@@ -462,7 +462,7 @@
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_cache_salt_separates_isolated_tenants(self):
         async def story(scene):
@@ -476,4 +476,4 @@
             for each in requests:
                 self.assertEqual(each.get(b"x-expect-version"), b"1")
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
--- a/tests/coordination/gateway/serving/test_explaining.py
+++ b/tests/coordination/gateway/serving/test_explaining.py
@@ -53,7 +53,7 @@
             self.assertIn("p1 (503)", explanation)
             self.assertIn("run: not_run", explanation)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_refused_because_all_targets_are_limited(self):
         async def story(scene):
@@ -76,7 +76,7 @@
             self.assertIn('"event":"target_limited"', lines)
             self.assertIn('"limit_per_s":1.0', lines)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_announcements_of_a_target_are_explained(self):
         async def story(scene):
@@ -89,7 +89,7 @@
             self.assertIn("the target announced that it leaves", explanation)
             self.assertIn("the target asked for 2.0 s of back-off", explanation)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_refused_because_a_quota_is_exhausted(self):
         async def story(scene):
@@ -115,7 +115,7 @@
             page = scene.program.metrics.page()
             self.assertIn(b'quota_refused_total{tenant="tenant-one"}', page)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_stream_cut_off_by_a_crash(self):
         async def story(scene):
@@ -132,12 +132,12 @@
             document = json.loads(self.explain(request, json=True))
             self.assertEqual(document["missing"], [])
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_choice_of_old_weights_logs_the_newer_version_and_its_age(self):
         async def story(scene):
             scene.engines[0].order_status = 409
-            scene.name_weights(3)
+            scene.announce_weights(3)
             await scene.until(lambda: "m" in scene.site.weights.newest)
             request = scene.prompt("/stream/x", x_deadline_ms="500")
             scene.engines[0].behave(standin.Fail())
@@ -162,11 +162,11 @@
             self.assertEqual(status["weights_behind"], {"e0 m": 1})
             self.assertEqual(status["weights_named"]["m"]["version"], 3)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.run_scenario(story, engines=1)
 
     def test_end_of_a_weights_load_is_logged(self):
         async def story(scene):
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: scene.engines[0].weights == 2)
             await scene.until(lambda: not scene.program.rollout.loading)
             self.handler.flush()
@@ -178,7 +178,7 @@
             ]
             self.assertEqual(ends, [("e0", 2, "held")])
 
-        scene_lib.play(story, engines=1)
+        scene_lib.run_scenario(story, engines=1)
 
     def test_failure_of_the_targets_themselves(self):
         async def story(scene):
@@ -193,11 +193,11 @@
             self.assertIn("p0 (500)", explanation)
             self.assertIn("p1 (500)", explanation)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_explanation_names_the_source_of_cached_prefixes(self):
         async def story(scene):
-            (store,) = await scene_lib.keep_caches(scene, 1)
+            (store,) = await scene_lib.start_cache_stores(scene, 1)
             for engine in scene.engines:
                 engine.behave(standin.Refuse())
             request = scene.prompt("/stream/x")
@@ -205,7 +205,7 @@
             explanation = self.explain(request)
             self.assertIn(f"cache {store.address}, saved there", explanation)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_refused_because_the_store_was_lost(self):
         async def story(scene):
@@ -222,7 +222,7 @@
             self.assertIn("lost the store and cannot check keys", explanation)
             self.assertRegex(explanation, r"the store was lost \d\.\d s before")
 
-        scene_lib.play(story, revoke_ms=1600)
+        scene_lib.run_scenario(story, revoke_ms=1600)
 
     def test_refused_before_the_configuration_was_read(self):
         """An unknown age of the store must not produce invalid JSON."""
@@ -237,7 +237,7 @@
             self.handler.flush()
             self.assertNotIn("Infinity", self.path.read_text())
 
-        scene_lib.play(story, ready=False, slow_s=5.0)
+        scene_lib.run_scenario(story, ready=False, slow_s=5.0)
 
     def test_every_refusal_is_logged(self):
         async def story(scene):
@@ -258,7 +258,7 @@
             for request in requests:
                 self.assertIn("refused with", self.explain(request))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_unknown_id_and_unreadable_file(self):
         with self.assertRaises(errors.NotFoundError):
@@ -290,5 +290,5 @@
                 for target in scene.plain:
                     scene.site.state(target.name).record_success()
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
         self.assertGreater(handler.dropped, 0)
--- a/tests/coordination/gateway/serving/test_kept_connections.py
+++ b/tests/coordination/gateway/serving/test_kept_connections.py
@@ -64,7 +64,7 @@
                 count_idle_connections(programs, target), MAX_CONNECTIONS / 2
             )
 
-        scene_lib.play(story, plain=1)
+        scene_lib.run_scenario(story, plain=1)
 
 
 if __name__ == "__main__":
--- a/tests/coordination/gateway/serving/test_quota.py
+++ b/tests/coordination/gateway/serving/test_quota.py
@@ -126,7 +126,7 @@
             self.assertLessEqual(set(statuses), {200, 429})
             self.assertIn(429, statuses)
 
-        scene_lib.play(scenario, quota_window_s=WINDOW_S)
+        scene_lib.run_scenario(scenario, quota_window_s=WINDOW_S)
 
     def test_refused_request_has_not_run_and_names_retry_time(self):
         async def scenario(scene):
@@ -149,7 +149,7 @@
                 self.assertLess(after_s, WINDOW_S * 1.5)
                 self.assertIn(b"quota_exceeded", answer.body)
 
-        scene_lib.play(scenario, quota_window_s=WINDOW_S)
+        scene_lib.run_scenario(scenario, quota_window_s=WINDOW_S)
 
     def test_requests_at_startup_wait_for_quota(self):
         async def scenario(scene):
@@ -168,7 +168,7 @@
             ]
             self.assertIn(429, statuses)
 
-        scene_lib.play(scenario, quota_window_s=WINDOW_S)
+        scene_lib.run_scenario(scenario, quota_window_s=WINDOW_S)
 
     def test_other_tenants_and_public_routes_are_unlimited(self):
         async def scenario(scene):
@@ -180,7 +180,7 @@
                 public = scene.request("/open/x", authorization="")
                 self.assertEqual((await scene.call(public)).head.status, 200)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_request_that_has_not_run_is_refunded(self):
         async def scenario(scene):
@@ -193,7 +193,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(program.quotas.statuses()[0].used, 0)
 
-        scene_lib.play(scenario, quota_window_s=WINDOW_S)
+        scene_lib.run_scenario(scenario, quota_window_s=WINDOW_S)
 
     def test_changed_quota_takes_effect(self):
         async def scenario(scene):
@@ -210,7 +210,7 @@
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_request_larger_than_the_limit_gets_no_retry_time(self):
         async def scenario(scene):
@@ -223,7 +223,7 @@
             self.assertEqual(answer.head.get(b"retry-after"), b"")
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_operators_list_quotas(self):
         async def scenario(scene):
@@ -238,7 +238,7 @@
             )
             self.assertEqual(listed[0]["rate_per_s"], RATE_PER_S)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -70,7 +70,7 @@
             self.assertEqual(answer.head.status, 200)
 
         with contextlib.ExitStack() as ports:
-            scene_lib.play(scenario, plain=1)
+            scene_lib.run_scenario(scenario, plain=1)
 
     def test_attempt_on_a_silent_target_is_retried_elsewhere(self):
         async def scenario(scene):
@@ -92,7 +92,7 @@
             self.assertEqual(answers[0].head.status, 200)
             self.assertIn(other.name.encode(), answers[0].body)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_isolated_host_gives_up_no_attempt(self):
         async def scenario(scene):
@@ -105,7 +105,7 @@
             self.assertEqual(answer.head.status, 200)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_attempt_on_the_only_unreachable_target_is_given_up(self):
         async def scenario(scene):
@@ -128,7 +128,7 @@
             self.assertEqual(answers[0].head.status, 200)
             self.assertIn(other.name.encode(), answers[0].body)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_giving_up_does_not_cut_a_write_to_the_caller(self):
         async def slow_send(connection, events):
@@ -157,7 +157,7 @@
             self.assertEqual(answers[0].body, whole)
 
         with mock.patch.object(http1.Http1Connection, "send", slow_send):
-            scene_lib.play(scenario)
+            scene_lib.run_scenario(scenario)
 
     def test_attempt_without_retry_budget_is_not_given_up(self):
         """A silent attempt that cannot be retried may still be answered."""
@@ -194,7 +194,7 @@
             self.assertEqual(answers[0].body, whole)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(scenario, retry_extra=0, retry_ratio=0)
+        scene_lib.run_scenario(scenario, retry_extra=0, retry_ratio=0)
 
     def test_new_connection_is_not_probed(self):
         async def scenario(scene):
@@ -208,7 +208,7 @@
             await scene.call(scene.request("/again/x"))
             self.assertEqual(pool.opened["trial"], 1)
 
-        scene_lib.play(scenario, plain=1)
+        scene_lib.run_scenario(scenario, plain=1)
 
     def test_unrepeatable_request_is_not_given_up(self):
         async def scenario(scene):
@@ -227,7 +227,7 @@
             self.assertEqual(answers[0].head.status, 200)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
 
 def list_fetch_sources(scene):
@@ -242,7 +242,7 @@
 class CacheTest(unittest.TestCase):
     def test_prefixes_are_spread_over_all_stores(self):
         async def scenario(scene):
-            stores = await scene_lib.keep_caches(scene, 3)
+            stores = await scene_lib.start_cache_stores(scene, 3)
             for number in range(24):
                 parts = f"aa:300,{number:x}b:500,cc:100"
                 await scene.call(
@@ -254,13 +254,13 @@
             await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(*list_fetch_sources(scene)[-2:])
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_unreachable_store_is_not_used(self):
         """Engines would wait for it with each request."""
 
         async def scenario(scene):
-            stores = await scene_lib.keep_caches(scene, 2)
+            stores = await scene_lib.start_cache_stores(scene, 2)
             gone, other = stores
             scene.stop_listening(gone)
             cache_watch = (
@@ -282,11 +282,11 @@
             await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(list_fetch_sources(scene)[-1], "")
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
     def test_prefix_is_saved_only_if_the_store_lacks_it(self):
         async def scenario(scene):
-            (store,) = await scene_lib.keep_caches(scene, 1)
+            (store,) = await scene_lib.start_cache_stores(scene, 1)
             address = store.address.encode()
             await scene.call(scene.prompt("/stream/x"))
             run = next(r for e in scene.engines for r in e.runs)
@@ -314,7 +314,7 @@
             run = [r for e in scene.engines for r in e.runs][-1]
             self.assertEqual(run.request.get(b"x-kv-save"), address)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
 
 class WeightsMismatchTest(unittest.TestCase):
@@ -327,4 +327,4 @@
             self.assertEqual(answer.head.status, 200)
             self.assertEqual(scene.site.weights.held_version("e0", "m"), 2)
 
-        scene_lib.play(scenario, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
--- a/tests/coordination/gateway/serving/test_silent_connections.py
+++ b/tests/coordination/gateway/serving/test_silent_connections.py
@@ -36,7 +36,7 @@
             self.assertEqual(lost, [])
             self.assertTrue(trusted)
 
-        scene_lib.play(story, linked=True, revoke_ms=3000)
+        scene_lib.run_scenario(story, linked=True, revoke_ms=3000)
 
     def test_store_that_is_also_silent_over_new_connections_is_lost(self):
         async def story(scene):
@@ -46,7 +46,7 @@
             scene.store_link.silence()
             await scene.until(lambda: lost)
 
-        scene_lib.play(story, linked=True, revoke_ms=1800)
+        scene_lib.run_scenario(story, linked=True, revoke_ms=1800)
 
     def test_kernel_finds_silent_connections_with_one_probe(self):
         """Checks socket options, because loopback acknowledges every probe."""
@@ -68,7 +68,7 @@
                 self.assertLessEqual(idle_s + probes * every_s, 2)
                 await connection.close()
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class TargetConnectionsTest(unittest.TestCase):
@@ -86,7 +86,7 @@
                 self.assertLess(time.monotonic() - began_at, 0.8)
             self.assertEqual(len(scene.runs()), runs + 1)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_request_that_may_have_run_is_not_repeated(self):
         async def story(scene):
@@ -99,7 +99,7 @@
                 self.assertIn(answer.head.status, (502, 504))
                 self.assertEqual(len(scene.runs()), runs)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_one_silent_connection_makes_idle_ones_suspect(self):
         async def story(scene):
@@ -115,7 +115,7 @@
                         answer = await scene.call(request)
                         self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_silent_connections_eject_no_target(self):
         async def story(scene):
@@ -134,7 +134,7 @@
                         tasks.start_soon(ask)
             self.assertEqual(statuses, [200] * 4)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_slow_target_that_acknowledged_is_not_given_up(self):
         async def story(scene):
@@ -149,7 +149,7 @@
             self.assertEqual(len(scene.runs()), runs + 1)
             self.assertEqual(scene.program.pool.opened["suspect"], opened)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class CacheConnectionsTest(unittest.TestCase):
@@ -181,11 +181,11 @@
                     await anyio.sleep(0.01)
             self.assertEqual(least, 2)
 
-        scene_lib.play(story, engines=1)
+        scene_lib.run_scenario(story, engines=1)
 
     def test_cache_contents_are_dropped_when_the_cache_is_gone(self):
         async def story(scene):
-            (cache,) = await scene_lib.keep_caches(scene, 1)
+            (cache,) = await scene_lib.start_cache_stores(scene, 1)
             caches = (
                 scene.program.gateway.dispatcher.chooser.cache_planner.watch
             )
@@ -194,7 +194,7 @@
                 lambda: not caches.contents[cache.address].is_known
             )
 
-        scene_lib.play(story, engines=1)
+        scene_lib.run_scenario(story, engines=1)
 
 
 async def link_targets(scene):
--- a/tests/coordination/gateway/serving/test_target_announcements.py
+++ b/tests/coordination/gateway/serving/test_target_announcements.py
@@ -62,7 +62,7 @@
         for drain_s in (0.5, 1.0, 2.0):
             for make in (make_prompt, make_plain_request):
                 with self.subTest(drain_s=drain_s, make=make.__name__):
-                    scene_lib.play(
+                    scene_lib.run_scenario(
                         lambda scene, d=drain_s, m=make: self.check_departure(
                             scene, d, m
                         ),
@@ -101,7 +101,7 @@
             self.assertEqual(set(statuses), {200})
             self.assertEqual(count_arrivals(target, late_at, float("inf")), 0)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_departure_ends_when_the_target_restarts(self):
         async def scenario(scene):
@@ -119,7 +119,7 @@
             await send_for(scene, 0.5, make_plain_request)
             self.assertTrue(count_arrivals(target, began_at, float("inf")))
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     # Guards against a restarted target that is excluded for good because of a
     # late answer of its earlier incarnation.
@@ -149,7 +149,7 @@
             await scene.until(lambda: answers)
             self.assertFalse(entries[target.name].leaving)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_log_names_the_source_of_a_departure(self):
         async def scenario(scene):
@@ -165,7 +165,7 @@
             logged = [(line.target, line.source) for line in found]
             self.assertEqual(logged, [(target.name, "answer")])
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     # Guards against a departure that each host learns only from an answer to
     # a request of its own, while the list of targets does not show it.
@@ -182,7 +182,7 @@
                 entries = program.site.targets.entries
                 await scene.until(lambda e=entries: e[target.name].leaving)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_report_announces_a_departure(self):
         async def scenario(scene):
@@ -193,7 +193,7 @@
             scene.site.apply_report(engine.name, "m", report)
             self.assertTrue(scene.site.targets.entries[engine.name].leaving)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
 
 class UnknownHeaderTest(unittest.TestCase):
@@ -215,7 +215,7 @@
                 page, r'unknown_headers_total{header="server-new"} [1-9]'
             )
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_number_of_unknown_header_series_is_bounded(self):
         async def scenario(scene):
@@ -229,7 +229,7 @@
             self.assertLessEqual(count, 33)
             self.assertIn('unknown_headers_total{header="other"}', page)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
 
 class BackoffTest(unittest.TestCase):
@@ -239,7 +239,7 @@
         for backoff_s in (0.8, 1.6, 3.2):
             for make in (make_prompt, make_plain_request):
                 with self.subTest(backoff_s=backoff_s, make=make.__name__):
-                    scene_lib.play(
+                    scene_lib.run_scenario(
                         lambda scene, b=backoff_s, m=make: self.check_backoff(
                             scene, b, m
                         )
@@ -284,7 +284,7 @@
             count = count_arrivals(target, began_at, ends_at)
             self.assertEqual(count, 0)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_backoff_of_a_503_that_may_have_run(self):
         async def scenario(scene):
@@ -296,7 +296,7 @@
             count = count_arrivals(target, began_at, float("inf"))
             self.assertEqual(count, 0)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_backoff_ends_when_the_target_restarts(self):
         async def scenario(scene):
@@ -313,7 +313,7 @@
             await send_for(scene, 0.5, make_plain_request)
             self.assertTrue(count_arrivals(target, began_at, float("inf")))
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_request_is_refused_at_once_while_all_targets_back_off(self):
         async def scenario(scene):
@@ -336,7 +336,7 @@
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_operators_list_departures_and_backoffs(self):
         async def scenario(scene):
@@ -355,7 +355,7 @@
             self.assertIn("hillthread_targets_leaving 1.0", page)
             self.assertIn("hillthread_targets_backing_off 1.0", page)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/coordination/gateway/serving/test_target_limits.py
+++ b/tests/coordination/gateway/serving/test_target_limits.py
@@ -89,7 +89,7 @@
             # The other targets serve what exceeds its limit.
             self.assertEqual(set(statuses), {200})
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_removed_limit_is_lifted_at_all_hosts(self):
         async def scenario(scene):
@@ -113,7 +113,7 @@
             self.assertGreater(len(limited.arrivals) - count, 2 * LIMIT_PER_S)
             self.assertEqual(set(statuses), {200})
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_changed_limit_applies_at_all_hosts(self):
         async def scenario(scene):
@@ -130,7 +130,7 @@
             await send_for(scene, programs, 1.0, [])
             self.assertGreater(len(limited.arrivals) - count, 2 * LIMIT_PER_S)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_request_is_refused_at_once_if_all_targets_are_limited(self):
         async def scenario(scene):
@@ -154,7 +154,7 @@
                 self.assertGreater(after_s, 0.0)
                 self.assertLessEqual(after_s, WINDOW_S * 1.5)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_target_with_limit_zero_gets_occasional_requests(self):
         async def scenario(scene):
@@ -169,7 +169,7 @@
                 max_requests_in_a_window(limited, applied_at), 2
             )
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_request_that_missed_its_target_is_refunded(self):
         async def scenario(scene):
@@ -182,7 +182,7 @@
             await send_for(scene, [scene.program], WINDOW_S + 0.5, [])
             self.assertEqual(scene.program.limits.statuses()[0].used, 0)
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_limit_of_a_removed_target_is_forgotten(self):
         async def scenario(scene):
@@ -195,7 +195,7 @@
                 lambda: limited.name not in scene.program.limits.limits
             )
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
     def test_operators_list_limits(self):
         async def scenario(scene):
@@ -211,7 +211,7 @@
             self.assertIn("hillthread_targets_limited 1.0", page)
             self.assertRegex(page, r"hillthread_limit_passes_total [1-9]")
 
-        scene_lib.play(scenario)
+        scene_lib.run_scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -47,7 +47,7 @@
     async def start_era(scene):
         scene.store.era = 7
 
-    scene_lib.play(story, before=start_era, **settings)
+    scene_lib.run_scenario(story, before=start_era, **settings)
 
 
 class RestoredStoreTest(unittest.TestCase):
@@ -102,7 +102,7 @@
             def write_more():
                 scene.configure()
                 for version in range(2, 6):
-                    scene.name_weights(version)
+                    scene.announce_weights(version)
 
             await restore(scene, backup, write_more)
             await known(scene)
@@ -305,7 +305,7 @@
             scene.configure()
             await known(scene)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_operators_see_that_the_store_was_restored(self):
         async def story(scene):
--- a/tests/coordination/gateway/test_bounds.py
+++ b/tests/coordination/gateway/test_bounds.py
@@ -44,5 +44,5 @@
             await scene.until(lambda: scene.site.table.position == 2)
             took_s.append(time.monotonic() - changed_at)
 
-        scene_lib.play(story, linked=True, config_ms=config_ms)
+        scene_lib.run_scenario(story, linked=True, config_ms=config_ms)
         return took_s[0]
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -19,7 +19,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertTrue(answer.head.get(b"retry-after"))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_request_in_the_first_moments_waits_for_the_configuration(self):
         async def story(scene):
@@ -27,7 +27,7 @@
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story, ready=False, slow_s=0.1)
+        scene_lib.run_scenario(story, ready=False, slow_s=0.1)
 
     def test_host_that_learns_nothing_refuses_after_its_first_moments(self):
         async def story(scene):
@@ -39,7 +39,7 @@
             again = await scene.call(scene.request("/once/x"))
             self.assertEqual(again.head.status, 503)
 
-        scene_lib.play(story, ready=False, slow_s=5.0)
+        scene_lib.run_scenario(story, ready=False, slow_s=5.0)
 
     def test_host_whose_store_fails_refuses_at_once(self):
         async def story(scene):
@@ -51,7 +51,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertLess(time.monotonic() - started, 0.2)
 
-        scene_lib.play(story, ready=False, store="127.0.0.1:1")
+        scene_lib.run_scenario(story, ready=False, store="127.0.0.1:1")
 
     def test_request_that_waits_is_refused_as_soon_as_the_store_fails(self):
         async def story(scene):
@@ -60,7 +60,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertLess(time.monotonic() - started, 0.3)
 
-        scene_lib.play(story, ready=False, store="127.0.0.1:1")
+        scene_lib.run_scenario(story, ready=False, store="127.0.0.1:1")
 
     def test_targets_count_as_known_as_soon_as_they_are_read(self):
         async def story(scene):
@@ -68,7 +68,7 @@
             await scene.until(lambda: site.table and site.targets.entries)
             self.assertEqual(scene.not_ready_reason(), "")
 
-        scene_lib.play(story, ready=False, slow_s=0.05)
+        scene_lib.run_scenario(story, ready=False, slow_s=0.05)
 
     def test_unknown_route_and_key(self):
         async def story(scene):
@@ -84,7 +84,7 @@
             self.assertEqual(answer.head.status, 200)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_newer_configuration_is_in_force_and_older_is_not(self):
         async def story(scene):
@@ -98,7 +98,7 @@
             await anyio.sleep(0.1)
             self.assertEqual(scene.site.table.position, 2)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_unreadable_records_leave_what_was_good(self):
         async def story(scene):
@@ -114,7 +114,7 @@
                 scene.program.metrics.page(),
             )
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_dropped_history_is_read_anew(self):
         async def story(scene):
@@ -129,7 +129,7 @@
             await scene.until(lambda: scene.site.table.position == 2)
             await scene.until(lambda: "p0" not in scene.site.targets.entries)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class KeyTest(unittest.TestCase):
@@ -145,7 +145,7 @@
                     oldest = max(oldest, scene.site.freshness.age(now))
             self.assertLess(oldest, scene.site.greatest_age_s)
 
-        scene_lib.play(story, revoke_ms=1400)
+        scene_lib.run_scenario(story, revoke_ms=1400)
 
     def test_one_reader_of_a_host_asks_a_lost_store_for_all(self):
         async def story(scene):
@@ -165,7 +165,7 @@
             scene.list_target(late)
             await scene.until(lambda: "late" in scene.site.targets.entries)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_withdrawn_key_ends_at_a_host_that_lost_the_store(self):
         async def story(scene):
@@ -186,7 +186,7 @@
             answer = await scene.call(scene.request("/open/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story, revoke_ms=1500)
+        scene_lib.run_scenario(story, revoke_ms=1500)
 
     def test_host_that_was_frozen_serves_no_key_before_it_has_read(self):
         async def story(scene):
@@ -195,7 +195,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class ReturnTest(unittest.TestCase):
@@ -217,7 +217,7 @@
             self.assertEqual(head.get(b"connection"), b"close")
             self.assertLess(float(head.get(b"retry-after")), 0.2)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_callers_of_a_lone_host_wait_until_the_balancer_knows(self):
         """Those that come back at once would come back to the same host."""
@@ -235,7 +235,7 @@
             self.assertGreaterEqual(after_s, waits_s - 0.1)
             self.assertLess(after_s, 2.0)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_callers_that_the_balancer_still_sends_come_back_later(self):
         """It would use other hosts by then, if there were any."""
@@ -246,7 +246,7 @@
             head = await self.refused(scene)
             self.assertGreaterEqual(float(head.get(b"retry-after")), 1.0)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_urgent_callers_come_back_before_others(self):
         async def story(scene):
@@ -276,7 +276,7 @@
             self.assertLessEqual(max(spans[0]), min(spans[1]))
             self.assertLessEqual(max(spans[1]), min(spans[2]))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class HostsTest(unittest.TestCase):
@@ -292,7 +292,7 @@
             )
             self.assertIn("h1", scene.store.topics["keyed.hosts"].newest)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class TargetTest(unittest.TestCase):
@@ -308,7 +308,7 @@
             self.assertEqual(len(gone.runs), 0)
             self.assertEqual(len(stays.runs), 4)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_reused_address_is_not_taken_for_its_former_target(self):
         async def story(scene):
@@ -318,7 +318,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
         async def story(scene):
@@ -339,7 +339,7 @@
             await scene.until(lambda: "p1" not in scene.site.targets.entries)
             self.assertIn("p0", scene.site.targets.entries)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class WeightsTest(unittest.TestCase):
@@ -360,7 +360,7 @@
             run = [r for e in scene.engines for r in e.runs][-1]
             self.assertEqual(run.request.get(b"x-expect-version"), b"2")
 
-        scene_lib.play(story, engines=5)
+        scene_lib.run_scenario(story, engines=5)
 
     def test_holder_stops_when_an_engine_has_seen_a_newer_one(self):
         async def story(scene):
@@ -375,7 +375,7 @@
             await anyio.sleep(0.3)
             self.assertFalse(lease.may_act())
 
-        scene_lib.play(story, engines=1)
+        scene_lib.run_scenario(story, engines=1)
 
     def test_engine_that_comes_back_old_gets_nothing_late(self):
         async def story(scene):
@@ -406,7 +406,7 @@
                 self.assertEqual(answer.head.status, 200)
             self.assertEqual(old.runs, [])
 
-        scene_lib.play(story, engines=2)
+        scene_lib.run_scenario(story, engines=2)
 
 
 class StopTest(unittest.TestCase):
@@ -437,7 +437,7 @@
                 self.assertEqual(await resting.receive(), b"")
                 await stopped.wait()
 
-        scene_lib.play(story, grace_s=1.6)
+        scene_lib.run_scenario(story, grace_s=1.6)
 
     def test_host_about_to_end_refuses_what_it_could_not_finish(self):
         async def story(scene):
@@ -449,7 +449,7 @@
             self.assertTrue(answer.head.get(b"retry-after"))
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(story, grace_s=0.8)
+        scene_lib.run_scenario(story, grace_s=0.8)
 
     def test_request_three_seconds_into_a_stop_is_refused(self):
         async def story(scene):
@@ -459,7 +459,7 @@
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(story, grace_s=8.0)
+        scene_lib.run_scenario(story, grace_s=8.0)
 
     def test_request_on_a_resting_connection_is_served_until_it_closes(self):
         async def story(scene):
@@ -470,7 +470,7 @@
             head = await connection.read_head()
             self.assertEqual(head.status, 200)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_what_still_runs_at_the_end_gets_a_final_answer(self):
         async def story(scene):
@@ -486,7 +486,7 @@
             self.assertEqual(head.status, 502)
             self.assertIn(b'"run":"unknown"', body)
 
-        scene_lib.play(story, grace_s=0.8)
+        scene_lib.run_scenario(story, grace_s=0.8)
 
     def test_request_that_comes_in_slowly_is_answered_before_the_end(self):
         async def story(scene):
@@ -511,7 +511,7 @@
             with anyio.fail_after(0.3):
                 await stopped.wait()
 
-        scene_lib.play(story, grace_s=1.6)
+        scene_lib.run_scenario(story, grace_s=1.6)
 
 
 class DoorTest(unittest.TestCase):
@@ -534,7 +534,7 @@
                 await connection.close()
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
     def test_prompt_headers_survive_the_connection_header(self):
         async def story(scene):
@@ -550,7 +550,7 @@
             self.assertTrue(run.request.get(b"x-prompt-prefix"))
             self.assertFalse(run.request.get(b"x-a"))
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 async def _send(connection, data):
--- a/tests/coordination/gateway/test_restarts.py
+++ b/tests/coordination/gateway/test_restarts.py
@@ -140,7 +140,7 @@
             scene.list_target(engine)
             await scene.until(lambda: engine.name in entries)
 
-        scene_lib.play(story)
+        scene_lib.run_scenario(story)
 
 
 class RestartTest(unittest.TestCase):
@@ -228,30 +228,30 @@
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.play(story, plain=1)
+        scene_lib.run_scenario(story, plain=1)
 
     def test_orders_count_anew_after_a_start(self):
         async def story(scene):
             (engine,) = scene.engines
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: engine.weights == 2)
             await self.restart(scene, engine)
-            scene.name_weights(3)
+            scene.announce_weights(3)
             await scene.until(lambda: engine.weights == 3)
             counts = [order["expectedRevision"] for order in engine.orders]
             self.assertEqual(counts, [0, 0])
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.run_scenario(story, engines=1, plain=0)
 
     def test_load_of_a_start_that_ended_is_ordered_again_at_once(self):
         """Its count would never reach that of the start that is over."""
 
         async def story(scene):
             (engine,) = scene.engines
-            scene.name_weights(2)
+            scene.announce_weights(2)
             await scene.until(lambda: engine.weights == 2)
             engine.load_s = _LONG_LOAD_S
-            scene.name_weights(3)
+            scene.announce_weights(3)
             await scene.until(lambda: engine.busy)
             engine.load_s = platform_target.LOAD_S
             await self.restart(scene, engine)
@@ -265,4 +265,4 @@
             # Asked in the moment between two starts it reports nothing.
             self.assertEqual(ended["restarted"] + ended["no_report"], 1)
 
-        scene_lib.play(story, engines=1, plain=0)
+        scene_lib.run_scenario(story, engines=1, plain=0)
--- a/tests/coordination/gateway/test_suspended_host.py
+++ b/tests/coordination/gateway/test_suspended_host.py
@@ -62,7 +62,7 @@
                     statuses.append(answer.head.status)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.play(story, linked=True, revoke_ms=6000)
+        scene_lib.run_scenario(story, linked=True, revoke_ms=6000)
         return statuses
 
     def test_request_whose_time_passed_meanwhile_is_answered_on_waking(self):
@@ -92,4 +92,4 @@
                 tasks.cancel_scope.cancel()
             self.assertEqual(statuses, [504])
 
-        scene_lib.play(story, plain=1)
+        scene_lib.run_scenario(story, plain=1)
