--- a/hillthread/bench/compare.py
+++ b/hillthread/bench/compare.py
@@ -161,7 +161,7 @@
             router_talk.connect(self.fleets, self.clock, setup.talk_s)
         else:
             for fleet in self.fleets:
-                fleet.silent_routers = setup.routers - 1
+                fleet.unreachable_router_count = setup.routers - 1
         self.requests: dict[str, _Request] = {}
         self.recomputed = 0
         self.stepping: set[str] = set()
--- a/hillthread/bench/router_talk.py
+++ b/hillthread/bench/router_talk.py
@@ -29,9 +29,9 @@
     """
     for fleet in fleets:
         others = [other for other in fleets if other is not fleet]
-        fleet.heard_routers = len(others)
+        fleet.reachable_router_count = len(others)
         speaker = _Speaker(fleet, others, clock, every_s)
-        fleet.outbox.ready = speaker.plan
+        fleet.outbox.on_ready = speaker.plan
 
 
 class _Speaker:
@@ -62,10 +62,10 @@
     def _tell(self) -> None:
         self.planned = False
         self.told_at = self.clock.now
-        arrive = functools.partial(self._adopt, self.fleet.outbox.take())
+        arrive = functools.partial(self._adopt, self.fleet.outbox.drain())
         self.clock.at(self.clock.now + _DELAY_S, arrive)
 
-    def _adopt(self, shares: list[share_outbox.Share]) -> None:
+    def _adopt(self, notices: list[share_outbox.PlacementNotice]) -> None:
         for other in self.others:
-            for share in shares:
-                other.adopt_share(share, self.clock.now)
+            for notice in notices:
+                other.apply_placement_notice(notice, self.clock.now)
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -162,10 +162,12 @@
             _logger.warning("%s", error, extra={"code": error.code})
         finally:
             self.link = None
-            self.router.fleet.silent_routers += self.router.fleet.heard_routers
-            self.router.fleet.heard_routers = 0
+            self.router.fleet.unreachable_router_count += (
+                self.router.fleet.reachable_router_count
+            )
+            self.router.fleet.reachable_router_count = 0
             self.router.demand.router_count = (
-                1 + self.router.fleet.silent_routers
+                1 + self.router.fleet.unreachable_router_count
             )
 
     async def _share(self, link: link_lib.Link) -> None:
@@ -173,11 +175,11 @@
         fleet = self.router.fleet
         while True:
             ready = anyio.Event()
-            fleet.outbox.ready = ready.set
-            if not fleet.outbox.shares:
+            fleet.outbox.on_ready = ready.set
+            if not fleet.outbox.notices:
                 await ready.wait()
-            shares = fleet.outbox.take()
-            placements = [_as_placement(share) for share in shares]
+            notices = fleet.outbox.drain()
+            placements = [_as_placement(notice) for notice in notices]
             try:
                 await link.send(messages.Shares(placements))
             except errors.PeerError:
@@ -217,10 +219,10 @@
             case messages.Shares():
                 now = clock.now()
                 for each in message.placements:
-                    fleet.adopt_share(_as_share(each), now)
+                    fleet.apply_placement_notice(_as_share(each), now)
             case messages.Members():
-                fleet.heard_routers = message.heard
-                fleet.silent_routers = message.silent
+                fleet.reachable_router_count = message.heard
+                fleet.unreachable_router_count = message.silent
                 self.router.demand.router_count = 1 + message.heard
             case messages.Demand():
                 self.router.demand.update_peer(
@@ -296,20 +298,24 @@
     return hashlib.blake2b(text, digest_size=16).digest()
 
 
-def _as_placement(share: share_outbox.Share) -> messages.SharedPlacement:
+def _as_placement(
+    notice: share_outbox.PlacementNotice,
+) -> messages.SharedPlacement:
     return messages.SharedPlacement(
-        share.target,
-        share.incarnation,
-        share.weights_version,
-        share.prefill_tokens,
-        [level.digest for level in share.levels],
-        [level.tokens for level in share.levels],
+        notice.target,
+        notice.incarnation,
+        notice.weights_version,
+        notice.prefill_tokens,
+        [level.digest for level in notice.levels],
+        [level.tokens for level in notice.levels],
     )
 
 
-def _as_share(placement: messages.SharedPlacement) -> share_outbox.Share:
+def _as_share(
+    placement: messages.SharedPlacement,
+) -> share_outbox.PlacementNotice:
     pairs = zip(placement.digests, placement.tokens, strict=False)
-    return share_outbox.Share(
+    return share_outbox.PlacementNotice(
         placement.target,
         placement.incarnation,
         placement.weights_version,
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -122,9 +122,9 @@
         self.departures = departures.Departures()
         self.backoffs = backoffs.Backoffs()
         self.work: dict[str, _Work] = {}
-        self.heard_routers = 0
-        self.silent_routers = 0
-        self.outbox = share_outbox.ShareOutbox()
+        self.reachable_router_count = 0
+        self.unreachable_router_count = 0
+        self.outbox = share_outbox.PlacementNoticeOutbox()
 
     def choose(
         self, query: decision_lib.Query, placement: Placement, now: float
@@ -167,22 +167,24 @@
             alone,
         )
 
-    def adopt_share(self, share: share_outbox.Share, now: float) -> None:
+    def apply_placement_notice(
+        self, notice: share_outbox.PlacementNotice, now: float
+    ) -> None:
         """Takes in what another router told.
 
         A target unknown here, or told of under another epoch than the one
         known here, is passed over.
         """
-        beliefs = self.warmth.targets.get(share.target)
+        beliefs = self.warmth.targets.get(notice.target)
         if beliefs is None:
             return
-        epoch = warmth.CacheEpoch(share.incarnation, share.weights_version)
+        epoch = warmth.CacheEpoch(notice.incarnation, notice.weights_version)
         if beliefs.epoch is None:
             beliefs.epoch = epoch
         if beliefs.epoch != epoch:
             return
-        self.loads[share.target].add_peer_prefill(share.prefill_tokens, now)
-        for level in share.levels:
+        self.loads[notice.target].add_peer_prefill(notice.prefill_tokens, now)
+        for level in notice.levels:
             beliefs.add_from_peer(level, now)
 
     def observe_epoch(self, name: str, epoch: warmth.CacheEpoch) -> bool:
@@ -275,9 +277,9 @@
 
     def _prior(self) -> float:
         """Returns how far rank alone is trusted to tell of warmth."""
-        if self.silent_routers:
+        if self.unreachable_router_count:
             return _PRIOR
-        return _HEARD_PRIOR if self.heard_routers else 0.0
+        return _HEARD_PRIOR if self.reachable_router_count else 0.0
 
     def _offer_share(
         self,
@@ -287,9 +289,13 @@
         now: float,
     ) -> None:
         epoch = self.warmth.targets[name].epoch
-        if self.heard_routers == 0 or epoch is None or not query.levels:
+        if (
+            self.reachable_router_count == 0
+            or epoch is None
+            or not query.levels
+        ):
             return
-        self.outbox.offer(
+        self.outbox.add_placement(
             name,
             epoch,
             int(decision.expected_prefill),
--- a/hillthread/coordination/share_outbox.py
+++ b/hillthread/coordination/share_outbox.py
@@ -12,7 +12,7 @@
 from hillthread.state.routing import prompt
 from hillthread.state.routing import warmth
 
-__all__ = ["Share", "ShareOutbox"]
+__all__ = ["PlacementNotice", "PlacementNoticeOutbox"]
 
 # A level that was told of a target is not told again for so long, seconds.
 _TELL_AGAIN_S = 2.0
@@ -22,7 +22,7 @@
 _MAX_TOLD = 8192
 
 
-class Share(NamedTuple):
+class PlacementNotice(NamedTuple):
     """What one router tells others of a request it has placed.
 
     Attributes:
@@ -44,7 +44,7 @@
     """Stands for nobody who wants to know."""
 
 
-class ShareOutbox:
+class PlacementNoticeOutbox:
     """Shares in the order in which they came up.
 
     Attributes:
@@ -53,13 +53,13 @@
     """
 
     def __init__(self):
-        self.shares: collections.deque[Share] = collections.deque(
+        self.notices: collections.deque[PlacementNotice] = collections.deque(
             maxlen=_MAX_SHARES
         )
-        self.ready: Callable[[], None] = _do_nothing
+        self.on_ready: Callable[[], None] = _do_nothing
         self._told_at: cachetools.LRUCache = cachetools.LRUCache(_MAX_TOLD)
 
-    def offer(
+    def add_placement(
         self,
         target: str,
         epoch: warmth.CacheEpoch,
@@ -79,14 +79,16 @@
         fresh = tuple(
             level for level in levels if self._note(target, level, now)
         )
-        self.shares.append(Share(target, *epoch, prefill_tokens, fresh))
-        self.ready()
+        self.notices.append(
+            PlacementNotice(target, *epoch, prefill_tokens, fresh)
+        )
+        self.on_ready()
 
-    def take(self) -> list[Share]:
+    def drain(self) -> list[PlacementNotice]:
         """Returns what is to be told to other routers, once."""
-        shares = list(self.shares)
-        self.shares.clear()
-        return shares
+        notices = list(self.notices)
+        self.notices.clear()
+        return notices
 
     def _note(self, target: str, level: prompt.PrefixLevel, now: float) -> bool:
         """Returns whether a level is to be told, and notes that it is."""
--- a/tests/coordination/test_fleet.py
+++ b/tests/coordination/test_fleet.py
@@ -158,7 +158,7 @@
             [make_target("t0"), make_target("t1")], POOL, "m"
         )
         for fleet in self.fleets:
-            fleet.heard_routers = 1
+            fleet.reachable_router_count = 1
             fleet.choose(QUERY, self.placement, 0.0)
             for name in ("t0", "t1"):
                 fleet.observe_epoch(name, EPOCH)
@@ -167,12 +167,12 @@
         fleet = self.fleets[0]
         found = fleet.choose(QUERY, self.placement, 0.0)
         fleet.start("a", QUERY, found, 0.0)
-        return found.target, fleet.outbox.take()
+        return found.target, fleet.outbox.drain()
 
     def test_others_learn_warmth_and_load(self):
-        name, shares = self.place()
-        for share in shares:
-            self.fleets[1].adopt_share(share, 0.0)
+        name, notices = self.place()
+        for notice in notices:
+            self.fleets[1].apply_placement_notice(notice, 0.0)
         score = next(
             each
             for each in self.fleets[1].choose(QUERY, self.placement, 0.0).scores
@@ -182,9 +182,9 @@
         self.assertGreater(score.queue_s, 0)
 
     def test_share_of_another_epoch_is_passed_over(self):
-        name, shares = self.place()
+        name, notices = self.place()
         self.fleets[1].observe_epoch(name, EPOCH._replace(incarnation="i2"))
-        self.fleets[1].adopt_share(shares[0], 0.0)
+        self.fleets[1].apply_placement_notice(notices[0], 0.0)
         self.assertEqual(self.fleets[1].warmth.targets[name].levels, {})
 
     def test_same_level_is_not_told_again_at_once(self):
