--- a/hillthread/bench/compare.py
+++ b/hillthread/bench/compare.py
@@ -196,7 +196,7 @@
         self.oracle.blocks = request.blocks
         decision = fleet.choose(
             query,
-            fleet_lib.Placement(self.targets, self.pool, "m"),
+            fleet_lib.PlacementConstraints(self.targets, self.pool, "m"),
             self.clock.now,
         )
         assert decision.target is not None
--- a/hillthread/bench/slopes.py
+++ b/hillthread/bench/slopes.py
@@ -141,7 +141,7 @@
     return Slope(micros / 2200, size / 2200)
 
 
-def _fleet() -> tuple[fleet_lib.Fleet, fleet_lib.Placement]:
+def _fleet() -> tuple[fleet_lib.Fleet, fleet_lib.PlacementConstraints]:
     targets = [
         objects.Target(
             name=f"runner-{number}",
@@ -152,7 +152,7 @@
         for number in range(_TARGETS)
     ]
     fleet = fleet_lib.Fleet("dc")
-    return fleet, fleet_lib.Placement(targets, _POOL, "m")
+    return fleet, fleet_lib.PlacementConstraints(targets, _POOL, "m")
 
 
 def _levels(number: int) -> tuple[prompt.PrefixLevel, ...]:
@@ -193,7 +193,9 @@
 
 
 def _decided_record(
-    fleet: fleet_lib.Fleet, placement: fleet_lib.Placement, number: int
+    fleet: fleet_lib.Fleet,
+    placement: fleet_lib.PlacementConstraints,
+    number: int,
 ) -> records.RequestRecord:
     query = fleet_lib.make_query(_levels(number), 1.0, b"")
     decision = fleet.choose(query, placement, 0.0)
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -17,7 +17,13 @@
 from hillthread.state.targets import departures
 from hillthread.state.targets import health
 
-__all__ = ["Fleet", "Placement", "Usage", "affinity_key", "make_query"]
+__all__ = [
+    "Fleet",
+    "PlacementConstraints",
+    "Usage",
+    "affinity_key",
+    "make_query",
+]
 
 # How far rank alone is trusted to tell where a prefix is warm: while a router
 # is not heard, and while all are heard.
@@ -28,7 +34,7 @@
 _RETRY_EXTRA = 6.0
 
 
-class Placement(NamedTuple):
+class PlacementConstraints(NamedTuple):
     """Which targets one attempt may go to.
 
     Attributes:
@@ -127,13 +133,16 @@
         self.outbox = share_outbox.PlacementNoticeOutbox()
 
     def choose(
-        self, query: decision_lib.Query, placement: Placement, now: float
+        self,
+        query: decision_lib.Query,
+        constraints: PlacementConstraints,
+        now: float,
     ) -> decision_lib.Decision:
         """Returns the decision for one attempt."""
         query = query._replace(prior_probability=self._prior())
         candidates = [
-            self._candidate(target, placement, now)
-            for target in placement.targets
+            self._candidate(target, constraints, now)
+            for target in constraints.targets
         ]
         return self.decide(query, candidates, now)
 
@@ -304,16 +313,19 @@
         )
 
     def _candidate(
-        self, target: objects.Target, placement: Placement, now: float
+        self,
+        target: objects.Target,
+        constraints: PlacementConstraints,
+        now: float,
     ) -> decision_lib.Candidate:
         self.track(target)
-        self._bound_breaker(target.name, placement.pool)
+        self._bound_breaker(target.name, constraints.pool)
         return decision_lib.Candidate(
             target.name,
             target.max_running,
             self.loads[target.name],
             self.warmth.target(target.name, target.cache_tokens),
-            self._exclusion(target, placement, now),
+            self._exclusion(target, constraints, now),
         )
 
     def _bound_breaker(self, name: str, pool: objects.Pool) -> None:
@@ -326,31 +338,38 @@
         breaker.eject_s = pool.eject_s
 
     def _exclusion(
-        self, target: objects.Target, placement: Placement, now: float
+        self,
+        target: objects.Target,
+        constraints: PlacementConstraints,
+        now: float,
     ) -> decision_lib.Exclusion | None:
         name = target.name
         if target.data_centre != self.data_centre:
             return decision_lib.Exclusion.OTHER_DATA_CENTRE
-        if placement.model and placement.model not in target.models:
+        if constraints.model and constraints.model not in target.models:
             return decision_lib.Exclusion.MODEL_NOT_SERVED
         if name in self.departures.leaving:
             return decision_lib.Exclusion.LEAVING
         if target.cordoned:
             return decision_lib.Exclusion.CORDONED
-        if name in placement.tried:
+        if name in constraints.tried:
             return decision_lib.Exclusion.ALREADY_TRIED
         if self.breakers[name].state(now) is health.BreakerState.OPEN:
             return decision_lib.Exclusion.EJECTED
         if self.backoffs.is_active(name, now):
             return decision_lib.Exclusion.BACKING_OFF
-        if self.loads[name].inflight >= placement.pool.max_inflight:
+        if self.loads[name].inflight >= constraints.pool.max_inflight:
             return decision_lib.Exclusion.SATURATED
-        if placement.weights_version and not self._has_weights(name, placement):
+        if constraints.weights_version and not self._has_weights(
+            name, constraints
+        ):
             return decision_lib.Exclusion.EPOCH_CHANGED
         return None
 
-    def _has_weights(self, name: str, placement: Placement) -> bool:
+    def _has_weights(
+        self, name: str, constraints: PlacementConstraints
+    ) -> bool:
         epoch = self.warmth.targets[name].epoch
         return epoch is None or (
-            epoch.weights_version == placement.weights_version
+            epoch.weights_version == constraints.weights_version
         )
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -163,7 +163,7 @@
     async def attempt(self) -> target_client.AttemptError | None:
         """Makes one attempt; returns why it failed, or None."""
         attempt = await self.forwarder.gate.reserve(
-            self.exchange, self._placement()
+            self.exchange, self._constraints()
         )
         target = self._target(attempt)
         self._count_decision(attempt)
@@ -182,9 +182,9 @@
         finally:
             self._end(expected)
 
-    def _placement(self) -> fleet_lib.Placement:
+    def _constraints(self) -> fleet_lib.PlacementConstraints:
         resolved = self.exchange.resolved
-        return fleet_lib.Placement(
+        return fleet_lib.PlacementConstraints(
             resolved.targets,
             resolved.pool,
             self.exchange.record.model,
--- a/hillthread/coordination/gate.py
+++ b/hillthread/coordination/gate.py
@@ -52,7 +52,7 @@
     """A request that waits for a target."""
 
     exchange: exchange_lib.Exchange
-    placement: fleet_lib.Placement
+    constraints: fleet_lib.PlacementConstraints
     event: anyio.Event
     attempt: records.AttemptRecord | None = None
     refusal: errors.RefusalError | None = None
@@ -78,19 +78,19 @@
     async def reserve(
         self,
         exchange: exchange_lib.Exchange,
-        placement: fleet_lib.Placement,
+        constraints: fleet_lib.PlacementConstraints,
     ) -> records.AttemptRecord:
         """Returns a started attempt, its place taken.
 
         Raises:
             RefusalError: There is no target, or no place before the deadline.
         """
-        queue = self._queue(placement)
-        if self._waiting[_line_of(placement)] == 0:
-            attempt = self._try(exchange, placement)
+        queue = self._queue(constraints)
+        if self._waiting[_line_of(constraints)] == 0:
+            attempt = self._try(exchange, constraints)
             if attempt is not None:
                 return attempt
-        return await self._wait(exchange, placement, queue)
+        return await self._wait(exchange, constraints, queue)
 
     def release(self, attempt_id: str) -> None:
         """Gives back the place of an ended attempt and serves waiters."""
@@ -99,9 +99,9 @@
             self._serve_waiters(queue)
 
     def _queue(
-        self, placement: fleet_lib.Placement
+        self, constraints: fleet_lib.PlacementConstraints
     ) -> admission.AdmissionQueue:
-        pool = placement.pool
+        pool = constraints.pool
         queue = self.queues.get(pool.name)
         if queue is None:
             queue = self.queues[pool.name] = admission.AdmissionQueue(
@@ -113,14 +113,14 @@
     def _try(
         self,
         exchange: exchange_lib.Exchange,
-        placement: fleet_lib.Placement,
+        constraints: fleet_lib.PlacementConstraints,
     ) -> records.AttemptRecord | None:
         """Returns a started attempt, or None when all places are taken."""
         now = clock.now()
-        decision = self.fleet.choose(exchange.intent.query, placement, now)
+        decision = self.fleet.choose(exchange.intent.query, constraints, now)
         if decision.target is None and _some_excluded(decision, _TRIED):
             # All have failed once; one that failed may still be better.
-            again = placement._replace(tried=frozenset())
+            again = constraints._replace(tried=frozenset())
             decision = self.fleet.choose(exchange.intent.query, again, now)
         if decision.target is None:
             if _some_excluded(decision, _SATURATED):
@@ -135,7 +135,7 @@
     async def _wait(
         self,
         exchange: exchange_lib.Exchange,
-        placement: fleet_lib.Placement,
+        constraints: fleet_lib.PlacementConstraints,
         queue: admission.AdmissionQueue,
     ) -> records.AttemptRecord:
         started = clock.now()
@@ -146,9 +146,9 @@
             self._shed(offer.shed)
         if offer.ticket is None:
             raise _overloaded(exchange)
-        waiter = _Waiter(exchange, placement, anyio.Event())
+        waiter = _Waiter(exchange, constraints, anyio.Event())
         self._waiters[offer.ticket] = waiter
-        line = _line_of(placement)
+        line = _line_of(constraints)
         self._waiting[line] += 1
         try:
             await self._wait_turn(queue, offer.ticket, waiter)
@@ -194,11 +194,11 @@
         in_vain: set[_Need] = set()
         for ticket in queue.in_order():
             waiter = self._waiters[ticket]
-            need = _need_of(waiter.placement)
+            need = _need_of(waiter.constraints)
             if need in in_vain:
                 continue
             try:
-                waiter.attempt = self._try(waiter.exchange, waiter.placement)
+                waiter.attempt = self._try(waiter.exchange, waiter.constraints)
             except errors.RefusalError as refusal:
                 waiter.refusal = refusal
             if waiter.attempt is None and waiter.refusal is None:
@@ -213,14 +213,14 @@
         waiter.event.set()
 
 
-def _need_of(placement: fleet_lib.Placement) -> _Need:
+def _need_of(constraints: fleet_lib.PlacementConstraints) -> _Need:
     return _Need(
-        placement.model, placement.weights_version, id(placement.targets)
+        constraints.model, constraints.weights_version, id(constraints.targets)
     )
 
 
-def _line_of(placement: fleet_lib.Placement) -> tuple[str, str]:
-    return placement.pool.name, placement.model
+def _line_of(constraints: fleet_lib.PlacementConstraints) -> tuple[str, str]:
+    return constraints.pool.name, constraints.model
 
 
 def _some_excluded(
--- a/tests/coordination/test_attempt_checks.py
+++ b/tests/coordination/test_attempt_checks.py
@@ -40,8 +40,8 @@
     def exclusion(self, now):
         """Returns why the target is not eligible."""
         pool = objects.Pool(name="p", target_selector="")
-        placement = fleet_lib.Placement([self.target], pool, "m")
-        found = self.fleet.choose(test_fleet.QUERY, placement, now)
+        constraints = fleet_lib.PlacementConstraints([self.target], pool, "m")
+        found = self.fleet.choose(test_fleet.QUERY, constraints, now)
         return found.scores[0].exclusion
 
     # Guards against requests to a target that shed load with a Retry-After
--- a/tests/coordination/test_fleet.py
+++ b/tests/coordination/test_fleet.py
@@ -33,10 +33,10 @@
         self.targets = [make_target("t0"), make_target("t1")]
 
     def choose(self, targets=None, **fields):
-        placement = fleet_lib.Placement(
+        constraints = fleet_lib.PlacementConstraints(
             targets or self.targets, POOL, "m", **fields
         )
-        return self.fleet.choose(QUERY, placement, 0.0)
+        return self.fleet.choose(QUERY, constraints, 0.0)
 
     def exclusion(self, target, **fields):
         found = self.choose([target], **fields)
@@ -117,7 +117,9 @@
         breaker = self.fleet.breakers["t0"]
         changed = msgspec.structs.replace(POOL, eject_after=3, eject_s=7.0)
         self.fleet.choose(
-            QUERY, fleet_lib.Placement(self.targets, changed, "m"), 0.0
+            QUERY,
+            fleet_lib.PlacementConstraints(self.targets, changed, "m"),
+            0.0,
         )
         self.assertIs(self.fleet.breakers["t0"], breaker)
         self.assertEqual((breaker.eject_after, breaker.eject_s), (3, 7.0))
@@ -154,18 +156,18 @@
 class ShareTest(unittest.TestCase):
     def setUp(self):
         self.fleets = [fleet_lib.Fleet("dc1") for _ in range(2)]
-        self.placement = fleet_lib.Placement(
+        self.constraints = fleet_lib.PlacementConstraints(
             [make_target("t0"), make_target("t1")], POOL, "m"
         )
         for fleet in self.fleets:
             fleet.reachable_router_count = 1
-            fleet.choose(QUERY, self.placement, 0.0)
+            fleet.choose(QUERY, self.constraints, 0.0)
             for name in ("t0", "t1"):
                 fleet.observe_epoch(name, EPOCH)
 
     def place(self):
         fleet = self.fleets[0]
-        found = fleet.choose(QUERY, self.placement, 0.0)
+        found = fleet.choose(QUERY, self.constraints, 0.0)
         fleet.start("a", QUERY, found, 0.0)
         return found.target, fleet.outbox.drain()
 
@@ -175,7 +177,9 @@
             self.fleets[1].apply_placement_notice(notice, 0.0)
         score = next(
             each
-            for each in self.fleets[1].choose(QUERY, self.placement, 0.0).scores
+            for each in self.fleets[1]
+            .choose(QUERY, self.constraints, 0.0)
+            .scores
             if each.target == name
         )
         self.assertEqual(score.warm_tokens, 2000)
--- a/tests/coordination/test_gate.py
+++ b/tests/coordination/test_gate.py
@@ -17,7 +17,7 @@
 TARGET = objects.Target(
     name="t", address="127.0.0.1:1", data_centre="dc1", models=["m"]
 )
-PLACEMENT = fleet_lib.Placement([TARGET], POOL, "m")
+CONSTRAINTS = fleet_lib.PlacementConstraints([TARGET], POOL, "m")
 
 
 class Exchange:
@@ -49,7 +49,7 @@
 
     async def reserve(self, exchange):
         try:
-            attempt = await self.gate.reserve(exchange, PLACEMENT)
+            attempt = await self.gate.reserve(exchange, CONSTRAINTS)
             self.outcomes[exchange.name] = attempt.attempt_id
         except errors.RefusalError as refusal:
             self.outcomes[exchange.name] = refusal.code
@@ -102,8 +102,10 @@
         self.pool = msgspec.structs.replace(POOL, queue_size=4)
 
     async def reserve(self, name, model, priority=0):
-        placement = fleet_lib.Placement(self.targets, self.pool, model)
-        await self.gate.reserve(Exchange(name, priority), placement)
+        constraints = fleet_lib.PlacementConstraints(
+            self.targets, self.pool, model
+        )
+        await self.gate.reserve(Exchange(name, priority), constraints)
         self.served.append(name)
 
     async def test_waiter_without_a_place_holds_up_no_other_model(self):
