--- a/hillthread/bench/compare.py
+++ b/hillthread/bench/compare.py
@@ -258,14 +258,14 @@
         fleet = self.fleets[request.router]
         epoch = warmth.CacheEpoch(str(self.incarnations[name]), "w")
         fleet.observe_epoch(name, epoch)
-        fleet.first_token(job.job_id, self.clock.now)
+        fleet.record_first_token(job.job_id, self.clock.now)
 
     def _finished(self, job: engine_model.Job) -> None:
         fleet = self.fleets[self.requests[job.job_id].router]
         usage = fleet_lib.Usage(
             job.prompt_tokens, job.cached_tokens, job.generated
         )
-        fleet.learn_usage(job.job_id, usage, self.clock.now)
+        fleet.record_usage(job.job_id, usage, self.clock.now)
         fleet.finish(job.job_id)
 
     def _report(self) -> None:
@@ -289,7 +289,7 @@
 
     def _deliver(self, name: str, report: load.LoadReport) -> None:
         for fleet in self.fleets:
-            fleet.report(name, report)
+            fleet.apply_load_report(name, report)
 
     def _crash(self, number: int) -> None:
         """An engine returns empty; what it ran is sent anew elsewhere."""
--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -35,7 +35,7 @@
     attempt: records.AttemptRecord
     epoch: warmth.CacheEpoch | None
     must_echo: bool
-    strict_incarnation: bool = False
+    requires_same_incarnation: bool = False
 
 
 class HeadChecker:
@@ -120,7 +120,7 @@
             return
         if epoch.weights_version != expected.epoch.weights_version:
             self._refuse("weights_version", "ran with other weights")
-        if not expected.strict_incarnation:
+        if not expected.requires_same_incarnation:
             return
         if epoch.incarnation != expected.epoch.incarnation:
             self._refuse("incarnation", "another incarnation answered")
--- a/hillthread/coordination/claims.py
+++ b/hillthread/coordination/claims.py
@@ -7,7 +7,7 @@
 
 import cachetools
 
-__all__ = ["ClaimStore", "ClaimVerdict", "LocalClaims"]
+__all__ = ["ClaimStore", "ClaimResult", "LocalClaims"]
 
 # Bound on memory where a router runs without a log.
 _MAX_CLAIMS = 100_000
@@ -15,7 +15,7 @@
 _CLAIM_S = 3_600.0
 
 
-class ClaimVerdict(enum.StrEnum):
+class ClaimResult(enum.StrEnum):
     """The answer to a claim."""
 
     GRANTED = "granted"
@@ -27,7 +27,7 @@
     """Where an idempotency key is claimed before a request is sent."""
 
     @abc.abstractmethod
-    async def claim(self, tenant: str, key: str, holder: str) -> ClaimVerdict:
+    async def claim(self, tenant: str, key: str, holder: str) -> ClaimResult:
         """Claims a tenant's key for `holder`, an id of the request.
 
         Returns:
@@ -48,10 +48,10 @@
             _MAX_CLAIMS, ttl=_CLAIM_S
         )
 
-    async def claim(self, tenant: str, key: str, holder: str) -> ClaimVerdict:
+    async def claim(self, tenant: str, key: str, holder: str) -> ClaimResult:
         """See the base class."""
         found = self.holders.setdefault((tenant, key), holder)
-        return ClaimVerdict.GRANTED if found == holder else ClaimVerdict.TAKEN
+        return ClaimResult.GRANTED if found == holder else ClaimResult.TAKEN
 
     async def release(self, tenant: str, key: str, holder: str) -> None:
         """See the base class."""
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -89,10 +89,10 @@
 
     async def claim(
         self, tenant: str, key: str, holder: str
-    ) -> claims.ClaimVerdict:
+    ) -> claims.ClaimResult:
         """See the base class."""
         if self.link is None:
-            return claims.ClaimVerdict.UNAVAILABLE
+            return claims.ClaimResult.UNAVAILABLE
         claim_id = next(self._claim_ids)
         digest = _claim_digest(tenant, key)
         pending = _PendingClaim()
@@ -104,7 +104,7 @@
             with anyio.move_on_after(_CLAIM_S):
                 await pending.answered.wait()
         except errors.PeerError:
-            return claims.ClaimVerdict.UNAVAILABLE
+            return claims.ClaimResult.UNAVAILABLE
         finally:
             del self._claims[claim_id]
         return pending.verdict
@@ -253,7 +253,7 @@
                 message.incarnation, message.weights_version
             )
             fleet.observe_epoch(message.target, epoch)
-        fleet.report(
+        fleet.apply_load_report(
             message.target,
             load.LoadReport(
                 clock.now(),
@@ -281,7 +281,7 @@
     def _settle_claim(self, reply: messages.ClaimReply) -> None:
         pending = self._claims.get(reply.claim_id)
         if pending is not None:
-            pending.verdict = claims.ClaimVerdict(reply.verdict)
+            pending.verdict = claims.ClaimResult(reply.verdict)
             pending.answered.set()
 
 
@@ -290,7 +290,7 @@
 
     def __init__(self):
         self.answered = anyio.Event()
-        self.verdict = claims.ClaimVerdict.UNAVAILABLE
+        self.verdict = claims.ClaimResult.UNAVAILABLE
 
 
 def _claim_digest(tenant: str, key: str) -> bytes:
--- a/hillthread/coordination/exchange.py
+++ b/hillthread/coordination/exchange.py
@@ -35,7 +35,7 @@
 
     request: http_server.Request
     send: http_server.Send
-    intent: intake.Intent
+    parsed: intake.ParsedRequest
     tenant: objects.Tenant
     record: records.RequestRecord
     arrived: float
@@ -51,12 +51,12 @@
     @property
     def completion(self) -> openai.CompletionRequest | None:
         """The checked completion request; None for plain services."""
-        return self.intent.completion
+        return self.parsed.completion
 
     @property
     def resolved(self) -> routing_table.ResolvedRoute:
         """Route, policy, pool and targets."""
-        return self.intent.resolved
+        return self.parsed.resolved
 
     @property
     def streamed(self) -> bool:
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -206,7 +206,7 @@
             self.loads[name].report = None
         return changed
 
-    def first_token(self, attempt_id: str, now: float) -> None:
+    def record_first_token(self, attempt_id: str, now: float) -> None:
         """Notes the first token of an attempt: its prompt is cached now."""
         work = self.work.get(attempt_id)
         if work is None or work.first_token_at is not None:
@@ -218,7 +218,7 @@
         beliefs.advance_clock(work.expected_prefill)
         beliefs.confirm(work.levels, now)
 
-    def learn_usage(self, attempt_id: str, usage: Usage, now: float) -> None:
+    def record_usage(self, attempt_id: str, usage: Usage, now: float) -> None:
         """Learns from the usage told at the end of an answer."""
         work = self.work.get(attempt_id)
         if work is None:
@@ -245,7 +245,7 @@
         if work.first_token_at is None:
             self.warmth.targets[work.target].remove_pending(work.levels)
 
-    def report(self, name: str, report: load.LoadReport) -> None:
+    def apply_load_report(self, name: str, report: load.LoadReport) -> None:
         """Takes in a load report of a target."""
         if name not in self.loads:
             return
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -55,7 +55,7 @@
         self.fleet = fleet
         self.metrics = metrics
         self.tasks = tasks
-        self.gate = gate_lib.Gate(fleet)
+        self.gate = gate_lib.AdmissionGate(fleet)
         self.checker = attempt_checks.HeadChecker(fleet, metrics)
         self.random = random.Random()
         self.client = target_client.TargetClient(
@@ -255,7 +255,7 @@
     def _whole_body(self) -> bytes | None:
         completion = self.exchange.completion
         if completion is None:
-            return self.exchange.intent.body or None
+            return self.exchange.parsed.body or None
         priority = self.exchange.resolved.policy.priority
         return openai.upstream_body(completion, self._salt(), priority)
 
@@ -327,8 +327,8 @@
             return
         attempt.cached_tokens = usage.cached_tokens
         metrics.cached_tokens.inc(usage.cached_tokens)
-        self.fleet.first_token(attempt.attempt_id, clock.now())
-        self.fleet.learn_usage(
+        self.fleet.record_first_token(attempt.attempt_id, clock.now())
+        self.fleet.record_usage(
             attempt.attempt_id,
             fleet_lib.Usage(
                 usage.prompt_tokens,
--- a/hillthread/coordination/gate.py
+++ b/hillthread/coordination/gate.py
@@ -20,7 +20,7 @@
 from hillthread.state.routing import decision as decision_lib
 from hillthread.state.routing import records
 
-__all__ = ["Gate"]
+__all__ = ["AdmissionGate"]
 
 # `Retry-After`: a target that is ejected or starting may be back by then.
 _NO_TARGET_RETRY_S = 2.0
@@ -58,7 +58,7 @@
     refusal: errors.RefusalError | None = None
 
 
-class Gate:
+class AdmissionGate:
     """Hands out places on targets, the most urgent class first.
 
     Attributes:
@@ -117,18 +117,18 @@
     ) -> records.AttemptRecord | None:
         """Returns a started attempt, or None when all places are taken."""
         now = clock.now()
-        decision = self.fleet.choose(exchange.intent.query, constraints, now)
+        decision = self.fleet.choose(exchange.parsed.query, constraints, now)
         if decision.target is None and _some_excluded(decision, _TRIED):
             # All have failed once; one that failed may still be better.
             again = constraints._replace(tried=frozenset())
-            decision = self.fleet.choose(exchange.intent.query, again, now)
+            decision = self.fleet.choose(exchange.parsed.query, again, now)
         if decision.target is None:
             if _some_excluded(decision, _SATURATED):
                 return None
             exchange.add_attempt(decision).failure = "no_target"
             raise _no_target(exchange)
         attempt = exchange.add_attempt(decision)
-        query = exchange.intent.query
+        query = exchange.parsed.query
         self.fleet.start(attempt.attempt_id, query, decision, now)
         return attempt
 
--- a/hillthread/coordination/intake.py
+++ b/hillthread/coordination/intake.py
@@ -18,7 +18,7 @@
 from hillthread.state.routing import records
 from hillthread.transport import http_server
 
-__all__ = ["Intake", "Intent", "authenticate"]
+__all__ = ["Intake", "ParsedRequest", "authenticate"]
 
 REPEATABLE_HEADER = "x-hillthread-repeatable"
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
@@ -30,7 +30,7 @@
 _MAX_MODELS = 64
 
 
-class Intent(NamedTuple):
+class ParsedRequest(NamedTuple):
     """What a request asks for.
 
     Attributes:
@@ -76,7 +76,9 @@
 
     def __init__(self, limits: settings_lib.CallerLimits):
         self.limits = limits
-        self.ratios: cachetools.LRUCache = cachetools.LRUCache(_MAX_MODELS)
+        self.tokens_per_character: cachetools.LRUCache = cachetools.LRUCache(
+            _MAX_MODELS
+        )
 
     async def read(
         self,
@@ -84,7 +86,7 @@
         tenant: objects.Tenant,
         request: http_server.Request,
         record: records.RequestRecord,
-    ) -> Intent:
+    ) -> ParsedRequest:
         """Returns what a request asks for and notes it in its record.
 
         Raises:
@@ -115,13 +117,13 @@
         record.prompt_tokens = query.prompt_tokens
         record.level_tokens = tuple(level.tokens for level in levels)
         record.repeatable = _is_repeatable(request, resolved.route, completion)
-        return Intent(body, completion, resolved, query)
+        return ParsedRequest(body, completion, resolved, query)
 
-    def learn_usage(
-        self, intent: Intent, record: records.RequestRecord
+    def record_usage(
+        self, parsed: ParsedRequest, record: records.RequestRecord
     ) -> float:
         """Returns tokens used, and learns how long tokens are."""
-        completion = intent.completion
+        completion = parsed.completion
         if not record.attempts or completion is None:
             return 0.0
         last = record.attempts[-1]
@@ -129,9 +131,9 @@
             return float(record.prompt_tokens)
         characters = sum(len(part) for part in completion.parts)
         measured = last.prompt_tokens / max(1, characters)
-        ratio = self.ratios.get(completion.model, _FIRST_RATIO)
+        ratio = self.tokens_per_character.get(completion.model, _FIRST_RATIO)
         ratio += _RATIO_STEP * (measured - ratio)
-        self.ratios[completion.model] = ratio
+        self.tokens_per_character[completion.model] = ratio
         return float(last.prompt_tokens + last.completion_tokens)
 
     async def _read_body(self, request: http_server.Request) -> bytes:
@@ -151,7 +153,7 @@
     ) -> tuple[prompt.PrefixLevel, ...]:
         if completion is None:
             return ()
-        ratio = self.ratios.get(completion.model, _FIRST_RATIO)
+        ratio = self.tokens_per_character.get(completion.model, _FIRST_RATIO)
         return prompt.prefix_levels(
             tenant.organisation, completion.model, completion.parts, ratio
         )
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -132,16 +132,16 @@
                 await self._list_models(table, send)
                 record.outcome = "answered"
                 return
-            intent = await self.intake.read(table, tenant, request, record)
+            parsed = await self.intake.read(table, tenant, request, record)
             self.records.add(record)
             started = exchange_lib.Exchange(
                 request,
                 send,
-                intent,
+                parsed,
                 tenant,
                 record,
                 arrived,
-                arrived + intent.resolved.route.timeout_s,
+                arrived + parsed.resolved.route.timeout_s,
                 closing=self.draining,
             )
             await self._serve_within_limits(started)
@@ -190,7 +190,9 @@
                 await self._give_back(exchange, key, refusal)
                 raise
         finally:
-            usage.end(self.intake.learn_usage(exchange.intent, exchange.record))
+            usage.end(
+                self.intake.record_usage(exchange.parsed, exchange.record)
+            )
 
     def _tenant_usage(self, tenant: objects.Tenant) -> limits.TenantUsage:
         now = clock.now()
@@ -227,7 +229,7 @@
             exchange.tenant.name, key, exchange.request_id
         )
         match verdict:
-            case claims_lib.ClaimVerdict.TAKEN:
+            case claims_lib.ClaimResult.TAKEN:
                 raise errors.RefusalError(
                     "already_claimed",
                     409,
@@ -235,7 +237,7 @@
                     "Ask what became of that one; it may have run.",
                     errors.RunState.UNKNOWN,
                 )
-            case claims_lib.ClaimVerdict.UNAVAILABLE:
+            case claims_lib.ClaimResult.UNAVAILABLE:
                 raise errors.RefusalError(
                     "claim_unavailable",
                     503,
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -141,7 +141,7 @@
 
     def _note_first_token(self, attempt: records.AttemptRecord) -> None:
         attempt.first_token_s = self.exchange.elapsed()
-        self.fleet.first_token(attempt.attempt_id, clock.now())
+        self.fleet.record_first_token(attempt.attempt_id, clock.now())
         if not self.exchange.started:
             self.metrics.observe_first_token(
                 self.exchange.tenant.name, attempt.first_token_s
@@ -212,7 +212,7 @@
             incarnation, weights = expected.epoch
         again = expected._replace(
             epoch=warmth.CacheEpoch(incarnation, weights),
-            strict_incarnation=True,
+            requires_same_incarnation=True,
         )
         for number in range(_RESUMES):
             await anyio.sleep(_RESUME_PAUSE_S * (number + 1))
--- a/tests/coordination/test_fleet.py
+++ b/tests/coordination/test_fleet.py
@@ -97,7 +97,7 @@
     def test_new_weights_drop_warmth(self):
         name = self.start("a")
         self.fleet.observe_epoch(name, EPOCH)
-        self.fleet.first_token("a", 0.1)
+        self.fleet.record_first_token("a", 0.1)
         self.assertEqual(self.choose().scores[0].warm_tokens, 2010)
         self.fleet.observe_epoch(name, EPOCH._replace(weights_version="w2"))
         for score in self.choose().scores:
@@ -148,7 +148,7 @@
         self.assertGreater(beliefs.lookup(QUERY.levels, 1.0).tokens, 0)
 
     def report(self, name, inserted):
-        self.fleet.report(
+        self.fleet.apply_load_report(
             name, load.LoadReport(0.0, 0, 0, inserted, cache_tokens=10_000)
         )
 
--- a/tests/coordination/test_gate.py
+++ b/tests/coordination/test_gate.py
@@ -25,7 +25,7 @@
 
     def __init__(self, name, priority=0):
         self.name = name
-        self.intent = types.SimpleNamespace(
+        self.parsed = types.SimpleNamespace(
             query=fleet_lib.make_query((), 1.0, b"k")
         )
         self.resolved = types.SimpleNamespace(
@@ -44,7 +44,7 @@
 class GateTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.fleet = fleet_lib.Fleet("dc1")
-        self.gate = gate_lib.Gate(self.fleet)
+        self.gate = gate_lib.AdmissionGate(self.fleet)
         self.outcomes = {}
 
     async def reserve(self, exchange):
@@ -88,7 +88,7 @@
     """Requests of one pool that need different targets."""
 
     def setUp(self):
-        self.gate = gate_lib.Gate(fleet_lib.Fleet("dc1"))
+        self.gate = gate_lib.AdmissionGate(fleet_lib.Fleet("dc1"))
         self.served = []
         self.targets = [
             objects.Target(
