--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -70,7 +70,7 @@
         self._claims: dict[int, _PendingClaim] = {}
         self._sampled = 0
         self._finished: collections.deque[bytes] = collections.deque()
-        router.finished = self.keep
+        router.on_finished = self.enqueue_record
 
     async def run(self) -> None:
         """Keeps the link open until cancelled."""
@@ -119,7 +119,7 @@
         except errors.PeerError:
             return
 
-    def keep(self, record: records.RequestRecord) -> None:
+    def enqueue_record(self, record: records.RequestRecord) -> None:
         """Queues a finished record that is worth keeping on the log.
 
         All that were not plainly answered are, and a sample of the rest.
@@ -166,7 +166,7 @@
                 self.router.fleet.reachable_router_count
             )
             self.router.fleet.reachable_router_count = 0
-            self.router.demand.router_count = (
+            self.router.demand_shares.router_count = (
                 1 + self.router.fleet.unreachable_router_count
             )
 
@@ -190,7 +190,7 @@
         """Tells demand and finished records, at fixed intervals."""
         while True:
             await anyio.sleep(_DEMAND_EVERY_S)
-            rates = self.router.demand.end_interval(clock.now())
+            rates = self.router.demand_shares.end_interval(clock.now())
             try:
                 await link.send(messages.Demand(self.identity.host, rates))
                 await self._send_finished(link)
@@ -223,9 +223,9 @@
             case messages.Members():
                 fleet.reachable_router_count = message.heard
                 fleet.unreachable_router_count = message.silent
-                self.router.demand.router_count = 1 + message.heard
+                self.router.demand_shares.router_count = 1 + message.heard
             case messages.Demand():
-                self.router.demand.update_peer(
+                self.router.demand_shares.update_peer(
                     message.host, message.rates, clock.now()
                 )
             case messages.RecordQuery():
@@ -244,7 +244,7 @@
     def _adopt(self) -> None:
         state = self.keeper.configuration
         table = routing_table.RoutingTable(state.position, state.decoded)
-        self.router.adopt(table)
+        self.router.apply_table(table)
 
     def _take_load(self, message: messages.TargetLoad) -> None:
         fleet = self.router.fleet
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -158,7 +158,7 @@
         relayed = self.stream.progress.next_index
         if limit is not None and relayed >= limit:
             return False
-        return self.stream.progress.kept_text() is not None
+        return self.stream.progress.relayed_text() is not None
 
     async def attempt(self) -> target_client.AttemptError | None:
         """Makes one attempt; returns why it failed, or None."""
@@ -242,13 +242,13 @@
         progress = stream.progress
         if progress.next_index == 0:
             return openai.upstream_body(completion, self._salt(), priority)
-        progress.continued_tokens = progress.next_index
+        progress.earlier_tokens = progress.next_index
         self.forwarder.metrics.resumes.labels("continue").inc()
         return openai.continuation_body(
             completion,
             self._salt(),
             priority,
-            progress.kept_text() or "",
+            progress.relayed_text() or "",
             progress.next_index,
         )
 
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -69,11 +69,13 @@
         self.intake = intake_lib.Intake(settings.limits)
         self.inflight = 0
         self.draining = False
-        self.ended = anyio.Event()
-        self.demand = shares.DemandShares()
-        self.finished: Callable[[records.RequestRecord], None] = _keep_nothing
+        self.request_ended = anyio.Event()
+        self.demand_shares = shares.DemandShares()
+        self.on_finished: Callable[[records.RequestRecord], None] = (
+            _keep_nothing
+        )
 
-    def adopt(self, table: routing_table.RoutingTable) -> None:
+    def apply_table(self, table: routing_table.RoutingTable) -> None:
         """Puts a configuration in force."""
         if self.table is not None and table.position < self.table.position:
             return
@@ -96,7 +98,7 @@
     async def wait_idle(self) -> None:
         """Returns when no request is being served."""
         while self.inflight:
-            await self.ended.wait()
+            await self.request_ended.wait()
 
     async def handle(
         self, request: http_server.Request, send: http_server.Send
@@ -113,8 +115,8 @@
             self.inflight -= 1
             self.metrics.inflight.set(self.inflight)
             self._close_record(record)
-            self.ended.set()
-            self.ended = anyio.Event()
+            self.request_ended.set()
+            self.request_ended = anyio.Event()
 
     async def _serve(
         self,
@@ -198,8 +200,8 @@
         now = clock.now()
         share = 1.0
         if tenant.limits != _NO_LIMITS:
-            self.demand.count_request(tenant.name)
-            share = self.demand.share(tenant.name, now)
+            self.demand_shares.count_request(tenant.name)
+            share = self.demand_shares.share(tenant.name, now)
         usage = self.usage.get(tenant.name)
         if usage is None:
             usage = limits.TenantUsage(tenant.limits, share, now)
@@ -277,7 +279,7 @@
         record.run = refusal.run
         if exchange is not None and exchange.started:
             record.outcome = "broken"
-            await stream_relay.send_broken(exchange, refusal)
+            await stream_relay.send_stream_error(exchange, refusal)
             return
         record.outcome = "refused"
         closing = ((b"connection", b"close"),) if self.draining else ()
@@ -293,7 +295,7 @@
             record.run = records.infer_run_state(record.attempts)
         self.metrics.requests.labels(record.outcome, record.code).inc()
         if record.route:
-            self.finished(record)
+            self.on_finished(record)
 
 
 def _keep_nothing(record: records.RequestRecord) -> None:
--- a/hillthread/coordination/stream_progress.py
+++ b/hillthread/coordination/stream_progress.py
@@ -20,7 +20,7 @@
 class StreamFault(enum.StrEnum):
     """What a check of a streamed answer found wrong."""
 
-    CROSSED = "crossed_answer"
+    WRONG_ATTEMPT = "crossed_answer"
     GAP = "gap_in_stream"
     ERROR_EVENT = "error_event"
     TRUNCATED = "no_terminal_marker"
@@ -57,14 +57,14 @@
 
     def __init__(self, wants_usage: bool):
         self.wants_usage = wants_usage
-        self.first_id = b""
+        self.first_attempt_id = b""
         self.attempt_id = b""
         self.next_index = 0
         self.done = False
         self.usage: engine.AnswerUsage | None = None
-        self.overlap = 0
+        self.duplicate_count = 0
         self.fault: StreamFault | None = None
-        self.continued_tokens = 0
+        self.earlier_tokens = 0
         self._kept: list[bytes] = []
         self._kept_bytes = 0
 
@@ -72,8 +72,8 @@
         """Expects the events of an attempt from `next_index` on."""
         self.attempt_id = attempt_id.encode()
         self.fault = None
-        if not self.first_id:
-            self.first_id = self.attempt_id
+        if not self.first_attempt_id:
+            self.first_attempt_id = self.attempt_id
 
     def accept(self, event: event_stream.Event) -> bytes:
         """Returns the bytes to relay for an event; empty when none.
@@ -91,14 +91,14 @@
             self.fault = StreamFault.ERROR_EVENT
             return b""
         if self.attempt_id not in event.data:
-            self.fault = StreamFault.CROSSED
+            self.fault = StreamFault.WRONG_ATTEMPT
             return b""
         if event.index is not None and event.index != self.next_index:
-            return self._out_of_order(event.index)
+            return self._handle_out_of_order(event.index)
         self.next_index += 1
         return self._relayed(event)
 
-    def kept_text(self) -> str | None:
+    def relayed_text(self) -> str | None:
         """Returns the text relayed so far, or None when too long to keep."""
         if self._kept_bytes > _MAX_KEPT_BYTES:
             return None
@@ -110,9 +110,9 @@
                     texts.append(choice.delta.content or "")
         return "".join(texts)
 
-    def _out_of_order(self, index: int) -> bytes:
+    def _handle_out_of_order(self, index: int) -> bytes:
         if index < self.next_index:
-            self.overlap += 1
+            self.duplicate_count += 1
         else:
             self.fault = StreamFault.GAP
         return b""
@@ -129,18 +129,18 @@
         self.usage = engine.decode_usage(event.data)
         if not self.wants_usage:
             return b""
-        if self.continued_tokens == 0 or self.usage is None:
+        if self.earlier_tokens == 0 or self.usage is None:
             return self._as_first_attempt(event.raw)
         chunk: dict[str, Any] = msgspec.json.decode(event.data)
-        chunk["usage"]["prompt_tokens"] -= self.continued_tokens
-        chunk["usage"]["completion_tokens"] += self.continued_tokens
+        chunk["usage"]["prompt_tokens"] -= self.earlier_tokens
+        chunk["usage"]["completion_tokens"] += self.earlier_tokens
         raw = event_stream.encode_event(event.index, msgspec.json.encode(chunk))
         return self._as_first_attempt(raw)
 
     def _as_first_attempt(self, raw: bytes) -> bytes:
-        if self.attempt_id == self.first_id:
+        if self.attempt_id == self.first_attempt_id:
             return raw
-        return raw.replace(self.attempt_id, self.first_id)
+        return raw.replace(self.attempt_id, self.first_attempt_id)
 
 
 def _has_no_choices(data: bytes) -> bool:
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -258,7 +258,7 @@
         )
 
 
-async def send_broken(
+async def send_stream_error(
     exchange: exchange_lib.Exchange, refusal: errors.RefusalError
 ) -> None:
     """Tells a caller whose answer has begun that it cannot be completed.
--- a/hillthread/programs/router.py
+++ b/hillthread/programs/router.py
@@ -97,7 +97,7 @@
         program = RouterProgram(settings, tasks)
         if settings.configuration_file is not None:
             table = configuration_file.load_table(settings.configuration_file)
-            program.router.adopt(table)
+            program.router.apply_table(table)
         if program.control is not None:
             tasks.start_soon(program.control.run)
         async with anyio.create_task_group() as servers:
--- a/tests/bench/mutant_router.py
+++ b/tests/bench/mutant_router.py
@@ -48,7 +48,7 @@
         self.next_index = index + 1
         return b""
 
-    stream_progress.StreamProgress._out_of_order = relay
+    stream_progress.StreamProgress._handle_out_of_order = relay
 
 
 MUTANTS = {
--- a/tests/coordination/test_stream_progress.py
+++ b/tests/coordination/test_stream_progress.py
@@ -34,7 +34,7 @@
     def test_overlap_is_dropped_and_gap_is_a_fault(self):
         for index in (0, 1, 0, 1):
             self.progress.accept(event(index))
-        self.assertEqual(self.progress.overlap, 2)
+        self.assertEqual(self.progress.duplicate_count, 2)
         self.assertIsNone(self.progress.fault)
         self.progress.accept(event(3))
         self.assertEqual(self.progress.fault, stream_progress.StreamFault.GAP)
@@ -42,7 +42,7 @@
     def test_another_attempts_event_is_a_fault(self):
         self.progress.accept(event(0, attempt="x-1"))
         self.assertEqual(
-            self.progress.fault, stream_progress.StreamFault.CROSSED
+            self.progress.fault, stream_progress.StreamFault.WRONG_ATTEMPT
         )
 
     def test_continued_events_look_like_the_first_attempts(self):
@@ -50,12 +50,12 @@
         self.progress.begin_attempt("r-2")
         relayed = self.progress.accept(event(1, attempt="r-2"))
         self.assertEqual(relayed, event(1).raw)
-        self.assertEqual(self.progress.kept_text(), "w w ")
+        self.assertEqual(self.progress.relayed_text(), "w w ")
 
     def test_usage_of_a_continued_answer_counts_all(self):
         self.progress.begin_attempt("r-2")
         self.progress.next_index = 3
-        self.progress.continued_tokens = 3
+        self.progress.earlier_tokens = 3
         data = (
             b'{"id":"chatcmpl-r-2","choices":[],"usage":'
             b'{"prompt_tokens":13,"completion_tokens":2}}'
