--- a/hillthread/coordination/control_node.py
+++ b/hillthread/coordination/control_node.py
@@ -124,7 +124,7 @@
             case messages.TargetState():
                 self.tell_target_state(message, link)
             case messages.Loads():
-                self.engines.note_loads(message)
+                self.engines.apply_loads(message)
                 self.hub.broadcast(self.hub.routers(), message)
             case messages.Shares() | messages.Demand():
                 self._pass_between_routers(link, message)
@@ -163,7 +163,7 @@
 
     def tell_loads(self, message: messages.Loads) -> None:
         """Tells loads read here to the data centre's routers."""
-        self.engines.note_loads(message)
+        self.engines.apply_loads(message)
         self.hub.broadcast(self.hub.routers(), message)
         peers = self.hub.peers(self.settings.data_centre)
         self.hub.broadcast(peers, message)
--- a/hillthread/coordination/engine_roster.py
+++ b/hillthread/coordination/engine_roster.py
@@ -42,7 +42,7 @@
         self._watched: list[objects.Target] = []
         self._watched_key: tuple[int, tuple[str, ...]] | None = None
 
-    def all(self) -> list[objects.Target]:
+    def list_all(self) -> list[objects.Target]:
         """Returns all engines of the data centre."""
         if self._all_position != self.keeper.position:
             self._all_position = self.keeper.position
@@ -55,7 +55,7 @@
             ]
         return self._all
 
-    def watched(self) -> list[objects.Target]:
+    def list_watched(self) -> list[objects.Target]:
         """Returns the engines that this host watches.
 
         They change with the configuration and the live hosts only; ranking
@@ -68,12 +68,12 @@
             self._watched_key = key
             self._watched = [
                 target
-                for target in self.all()
+                for target in self.list_all()
                 if self._ranks_first(target, hosts)
             ]
         return self._watched
 
-    def note_loads(self, message: messages.Loads) -> None:
+    def apply_loads(self, message: messages.Loads) -> None:
         """Notes the epochs that came with loads."""
         now = clock.now()
         for load in message.loads:
--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -238,7 +238,7 @@
         """Answers the balancer's question and the metrics page."""
         if caller.path.endswith("/metrics"):
             kind = [(b"content-type", b"text/plain; version=0.0.4")]
-            await answer.send_whole(200, kind, self.metrics.page())
+            await answer.send_whole(200, kind, self.metrics.render())
             return
         reason = self.site.not_ready_reason(clock.now())
         status = 503 if reason else 200
--- a/hillthread/coordination/metric_set.py
+++ b/hillthread/coordination/metric_set.py
@@ -50,7 +50,7 @@
         self.registry = prometheus_client.CollectorRegistry()
         self.buckets = buckets
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         """Returns all metrics in the customary text form."""
         return prometheus_client.generate_latest(self.registry)
 
--- a/hillthread/coordination/order_keeper.py
+++ b/hillthread/coordination/order_keeper.py
@@ -127,7 +127,7 @@
         return clock.now() - acquired_at >= _DEADLINE_S
 
     def _reconcile(self, group: anyio.abc.TaskGroup) -> None:
-        engines = self.node.engines.all()
+        engines = self.node.engines.list_all()
         wanting = self._wanting(engines)
         self._forget_retries(wanting)
         for target in self._in_order(wanting):
--- a/hillthread/coordination/target_watch.py
+++ b/hillthread/coordination/target_watch.py
@@ -100,7 +100,7 @@
         """Reads all targets that are not being read; tells what comes soon."""
         targets = [
             target
-            for target in self.node.engines.watched()
+            for target in self.node.engines.list_watched()
             if target.name not in self.reading
         ]
         reads = _Round(targets)
--- a/tests/coordination/gateway/serving/test_explaining.py
+++ b/tests/coordination/gateway/serving/test_explaining.py
@@ -112,7 +112,7 @@
             )
             self.handler.flush()
             self.assertIn('"event":"quota_spent"', self.path.read_text())
-            page = scene.program.metrics.page()
+            page = scene.program.metrics.render()
             self.assertIn(b'quota_refused_total{tenant="tenant-one"}', page)
 
         scene_lib.run_scenario(story)
@@ -156,7 +156,7 @@
             self.assertLess(old_weights["age_s"], 1.3)
             self.assertIn(
                 b'old_weights_choices_total{grace="free"} 1.0',
-                scene.program.metrics.page(),
+                scene.program.metrics.render(),
             )
             status = scene.site.weights_status(anyio.current_time())
             self.assertEqual(status["weights_behind"], {"e0 m": 1})
--- a/tests/coordination/gateway/serving/test_target_announcements.py
+++ b/tests/coordination/gateway/serving/test_target_announcements.py
@@ -210,7 +210,7 @@
                 if getattr(line, "event", "") == "unknown_header"
             ]
             self.assertEqual(found, ["server-new"])
-            page = scene.program.metrics.page().decode()
+            page = scene.program.metrics.render().decode()
             self.assertRegex(
                 page, r'unknown_headers_total{header="server-new"} [1-9]'
             )
@@ -224,7 +224,7 @@
                     (b"server-%d" % number, b"1") for number in range(40)
                 ]
             await scene.call(make_plain_request(scene, 0))
-            page = scene.program.metrics.page().decode()
+            page = scene.program.metrics.render().decode()
             count = page.count("unknown_headers_total{")
             self.assertLessEqual(count, 33)
             self.assertIn('unknown_headers_total{header="other"}', page)
@@ -351,7 +351,7 @@
             self.assertIn("p0 leaves\n", out.getvalue())
             self.assertRegex(out.getvalue(), r"p1 backs off for [23]\d")
             await anyio.sleep(0.3)
-            page = scene.program.metrics.page().decode()
+            page = scene.program.metrics.render().decode()
             self.assertIn("hillthread_targets_leaving 1.0", page)
             self.assertIn("hillthread_targets_backing_off 1.0", page)
 
--- a/tests/coordination/gateway/serving/test_target_limits.py
+++ b/tests/coordination/gateway/serving/test_target_limits.py
@@ -207,7 +207,7 @@
             with contextlib.redirect_stdout(out):
                 await anyio.to_thread.run_sync(ctl.Ctl(address).limits)
             self.assertIn(f"{limited.name} takes 2/s", out.getvalue())
-            page = scene.program.metrics.page().decode()
+            page = scene.program.metrics.render().decode()
             self.assertIn("hillthread_targets_limited 1.0", page)
             self.assertRegex(page, r"hillthread_limit_passes_total [1-9]")
 
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -320,7 +320,7 @@
                 if getattr(line, "event", "") == "store_restored"
             ]
             self.assertEqual(found, [(7, 8)])
-            page = scene.program.metrics.page().decode()
+            page = scene.program.metrics.render().decode()
             self.assertIn("hillthread_store_era 8.0", page)
 
         play(story)
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -111,7 +111,7 @@
             self.assertEqual(answer.head.status, 200)
             self.assertIn(
                 b'bad_records_total{kind="keyed.op"} 2.0',
-                scene.program.metrics.page(),
+                scene.program.metrics.render(),
             )
 
         scene_lib.run_scenario(story)
--- a/tests/coordination/test_metric_set.py
+++ b/tests/coordination/test_metric_set.py
@@ -17,6 +17,6 @@
         router = metrics.RouterMetrics()
         for number in range(2200):
             router.observe_first_token(f"t{number}", 0.1)
-        page = router.page().decode()
+        page = router.render().decode()
         self.assertIn('tenant="other"', page)
         self.assertEqual(page.count("first_token_seconds_count{"), 257)
--- a/tests/coordination/test_order_keeper.py
+++ b/tests/coordination/test_order_keeper.py
@@ -40,7 +40,7 @@
         }
         self.seen_at = {each.name: 0.0 for each in targets}
 
-    def all(self):
+    def list_all(self):
         return self.targets
 
 
--- a/tests/coordination/test_target_watch.py
+++ b/tests/coordination/test_target_watch.py
@@ -30,7 +30,7 @@
         self.states = []
         self.engines = self
 
-    def watched(self):
+    def list_watched(self):
         return self.targets
 
     def tell_loads(self, message):
