--- a/hillthread/coordination/admin.py
+++ b/hillthread/coordination/admin.py
@@ -218,14 +218,14 @@
             "data_centre": self.settings.data_centre,
             "position": keeper.position,
             "chain": keeper.configuration.chain,
-            "in_force": keeper.in_force(),
+            "in_force": keeper.is_in_force(),
             "log": self.follower.state if self.follower else "none",
             "positions": self.node.positions,
             "alive": self.node.members.list_alive(),
             "routers": len(self.node.hub.routers()),
             "leaving": sorted(self.node.departures.leaving),
             "unreadable_records": keeper.configuration.unreadable_count,
-            "refused_batches": keeper.refused,
+            "refused_batches": keeper.refused_batches,
         }
 
     def _list(self, request: http_server.Request) -> list[dict[str, Any]]:
--- a/hillthread/coordination/configuration_keeper.py
+++ b/hillthread/coordination/configuration_keeper.py
@@ -33,10 +33,10 @@
     def __init__(self):
         self.configuration = configuration.Configuration()
         self.listeners: list[AdvanceListener] = []
-        self.refused = 0
-        self.highest_told = configuration.START_POSITION
-        self.log_read = False
-        self.awaits_peers = False
+        self.refused_batches = 0
+        self.highest_peer_position = configuration.START_POSITION
+        self.has_read_log = False
+        self.is_awaiting_peers = False
         self._peer_complete = False
         self._recent: collections.deque[bytes] = collections.deque(
             maxlen=_MAX_RECENT
@@ -47,25 +47,25 @@
         """Offset of the last record applied; -1 before the first."""
         return self.configuration.position
 
-    def in_force(self) -> bool:
+    def is_in_force(self) -> bool:
         """Returns whether the configuration may be acted on.
 
         A host that starts acts on none until it has read the log to its end
         or taken over a peer's, and not below the highest position told: an
         older one must not come back in force.
         """
-        if self.awaits_peers or self.position < self.highest_told:
+        if self.is_awaiting_peers or self.position < self.highest_peer_position:
             return False
-        return self.log_read or self._peer_complete
+        return self.has_read_log or self._peer_complete
 
-    def note_told(self, position: int) -> None:
+    def record_peer_position(self, position: int) -> None:
         """Notes the position a peer has in force."""
-        self.highest_told = max(self.highest_told, position)
-        self.awaits_peers = False
+        self.highest_peer_position = max(self.highest_peer_position, position)
+        self.is_awaiting_peers = False
         if self.position >= position > configuration.START_POSITION:
             self._peer_complete = True
 
-    def take(
+    def apply_records(
         self, first_offset: int, payloads: Sequence[bytes], chain: str = ""
     ) -> bool:
         """Applies records that follow the position; returns whether any did.
@@ -85,7 +85,7 @@
         if chain and chain != configuration.extend_chain(
             self.configuration.chain, fresh
         ):
-            self.refused += 1
+            self.refused_batches += 1
             return False
         start = self.position + 1
         for payload in fresh:
@@ -94,7 +94,7 @@
         self._advanced(start, fresh)
         return True
 
-    def take_snapshot(self, payload: bytes) -> bool:
+    def apply_snapshot(self, payload: bytes) -> bool:
         """Takes over a snapshot that is further on; returns whether it was."""
         change = configuration.decode_change(payload)
         if not isinstance(change, configuration.Snapshot):
@@ -124,7 +124,11 @@
         return configuration.encode_change(self.configuration.snapshot())
 
     def _advanced(self, first_offset: int, payloads: list[bytes]) -> None:
-        if self.position >= self.highest_told > configuration.START_POSITION:
+        if (
+            self.position
+            >= self.highest_peer_position
+            > configuration.START_POSITION
+        ):
             self._peer_complete = True
         for listener in self.listeners:
             listener(first_offset, payloads)
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -205,7 +205,7 @@
             case messages.SnapshotMessage():
                 self._take_snapshot(message)
             case messages.Records():
-                self.keeper.take(
+                self.keeper.apply_records(
                     message.first_offset, message.payloads, message.chain
                 )
                 self._adopt()
@@ -235,7 +235,7 @@
 
     def _take_snapshot(self, message: messages.SnapshotMessage) -> None:
         try:
-            self.keeper.take_snapshot(message.payload)
+            self.keeper.apply_snapshot(message.payload)
         except errors.ConfigurationError as error:
             _logger.warning("%s", error, extra={"code": error.code})
             return
--- a/hillthread/coordination/control_node.py
+++ b/hillthread/coordination/control_node.py
@@ -71,7 +71,7 @@
         self.records = record_finder.RecordFinder(self.hub)
         for peer in settings.peers:
             self.members.add_host(peer.host, peer.data_centre)
-        self.keeper.awaits_peers = bool(settings.peers)
+        self.keeper.is_awaiting_peers = bool(settings.peers)
         self._started_at = clock.now()
         self.position_metric = prometheus_client.Gauge(
             "hillthread_configuration_position",
@@ -86,7 +86,7 @@
 
     def not_ready_reason(self) -> str:
         """Returns why this host has no configuration in force, or nothing."""
-        return "" if self.keeper.in_force() else "no configuration in force"
+        return "" if self.keeper.is_in_force() else "no configuration in force"
 
     def snapshot_rank(self) -> int:
         """Returns this host's turn to write a snapshot."""
@@ -99,7 +99,7 @@
         while True:
             await anyio.sleep(self.settings.heartbeat_s)
             if clock.now() - self._started_at > _AWAIT_PEERS_S:
-                self.keeper.awaits_peers = False
+                self.keeper.is_awaiting_peers = False
             self._note_own_position()
             for link in self.hub.peers():
                 self.hub.send(link, self._heartbeat(link))
@@ -190,7 +190,7 @@
 
     def _serve_router(self, link: hub_lib.OpenLink) -> None:
         """Gives a router the whole configuration once it is in force."""
-        if not self.keeper.in_force() or link.served:
+        if not self.keeper.is_in_force() or link.served:
             return
         link.served = True
         payload = self.keeper.snapshot_payload()
@@ -208,7 +208,7 @@
         for link in self.hub.peers():
             if link.told.get(link.peer.host, -1) < self.keeper.position:
                 self.hub.send(link, message)
-        if not self.keeper.in_force():
+        if not self.keeper.is_in_force():
             return
         for link in self.hub.routers():
             if link.served:
@@ -219,7 +219,7 @@
     def _note_own_position(self) -> None:
         self.positions[self.settings.host] = self.keeper.position
         self.position_metric.set(self.keeper.position)
-        if self.keeper.in_force():
+        if self.keeper.is_in_force():
             for link in self.hub.routers():
                 self._serve_router(link)
 
@@ -261,7 +261,7 @@
                 self.positions[host] = max(position, known)
         self.positions[peer.host] = message.position
         link.told[peer.host] = message.position
-        self.keeper.note_told(message.position)
+        self.keeper.record_peer_position(message.position)
         self._note_own_position()
         if message.position > self.keeper.position:
             self.hub.send(link, messages.WantRecords(self.keeper.position))
@@ -274,18 +274,23 @@
         if message.first_offset > self.keeper.position + 1:
             self.hub.send(link, messages.WantRecords(self.keeper.position))
             return
-        refused = self.keeper.refused
-        self.keeper.take(message.first_offset, message.payloads, message.chain)
-        if self.keeper.refused > refused and not self.keeper.in_force():
+        refused = self.keeper.refused_batches
+        self.keeper.apply_records(
+            message.first_offset, message.payloads, message.chain
+        )
+        if (
+            self.keeper.refused_batches > refused
+            and not self.keeper.is_in_force()
+        ):
             # This host started on a log that came back older and went on
             # another way; what a peer has in force is further on.
             self.hub.send(link, messages.WantRecords(messages.EVERYTHING))
 
     def _take_snapshot(self, message: messages.SnapshotMessage) -> None:
         try:
-            self.keeper.take_snapshot(message.payload)
+            self.keeper.apply_snapshot(message.payload)
         except errors.ConfigurationError:
-            self.keeper.refused += 1
+            self.keeper.refused_batches += 1
 
     def _send_records(self, link: hub_lib.OpenLink, after: int) -> None:
         payloads = self.keeper.records_after(after)
--- a/hillthread/coordination/log_follower.py
+++ b/hillthread/coordination/log_follower.py
@@ -61,14 +61,14 @@
         client: log_client.LogClient,
         keeper: configuration_keeper.ConfigurationKeeper,
         settings: settings_lib.ControlSettings,
-        rank: Callable[[], int],
+        snapshot_rank: Callable[[], int],
     ):
         self.client = client
         self.stream = settings.stream
         self.keeper = keeper
         self.poll_s = settings.poll_s
         self.snapshot_every = settings.snapshot_every
-        self.rank = rank
+        self.snapshot_rank = snapshot_rank
         self.state = LogState.STARTING
         self.failures = 0
         self.snapshots = 0
@@ -99,7 +99,7 @@
             await anyio.sleep(self.poll_s)
             if not self._snapshot_due():
                 continue
-            await anyio.sleep(self.rank() * _SNAPSHOT_STAGGER_S)
+            await anyio.sleep(self.snapshot_rank() * _SNAPSHOT_STAGGER_S)
             if not self._snapshot_due():
                 continue
             try:
@@ -126,17 +126,19 @@
         page = await self.client.read(
             self.stream,
             start,
-            wait_s=_LONG_POLL_S if self.keeper.log_read else 0.0,
+            wait_s=_LONG_POLL_S if self.keeper.has_read_log else 0.0,
         )
         if page.next_offset < start:
             self._enter(LogState.OLDER)
             self._verified_at = float("-inf")
             await self._pause()
             return
-        self.keeper.take(start, [each.payload for each in page.records])
+        self.keeper.apply_records(
+            start, [each.payload for each in page.records]
+        )
         self._enter(LogState.FOLLOWING)
         if self.keeper.position + 1 >= page.next_offset:
-            self.keeper.log_read = True
+            self.keeper.has_read_log = True
 
     async def _verify(self) -> bool:
         """Returns whether the log still holds the record last applied."""
@@ -169,7 +171,7 @@
                     for each in records
                     if each.offset > self.keeper.position
                 ]
-                self.keeper.take(self.keeper.position + 1, rest)
+                self.keeper.apply_records(self.keeper.position + 1, rest)
                 return
         self._enter(LogState.GAP)
         await self._pause()
@@ -191,7 +193,7 @@
             return False
         if change.position < first_offset - 1:
             return False
-        return self.keeper.take_snapshot(record.payload)
+        return self.keeper.apply_snapshot(record.payload)
 
     def _snapshot_due(self) -> bool:
         state = self.keeper.configuration
