--- a/hillthread/bench/slopes.py
+++ b/hillthread/bench/slopes.py
@@ -326,7 +326,7 @@
         secret="x" * 16,
         peers=peers,
     )
-    return Slope(_time_us(lambda: dialer.wanted_peers(own), repeats=20))
+    return Slope(_time_us(lambda: dialer.select_peers(own), repeats=20))
 
 
 def _prompt_digest() -> Slope:
--- a/hillthread/coordination/control_node.py
+++ b/hillthread/coordination/control_node.py
@@ -59,8 +59,8 @@
         self.members = membership_lib.Membership(settings.suspect_s)
         self.departures = departures.Departures()
         self.hub = hub_lib.Hub(registry)
-        self.hub.handle = self.handle
-        self.hub.opened = self._greet
+        self.hub.on_message = self.handle
+        self.hub.on_open = self._greet
         self.claims: claim_keeper_lib.ClaimKeeper | None = None
         self.archive: record_archive.RecordArchive | None = None
         self.positions: dict[str, int] = {}
@@ -190,9 +190,9 @@
 
     def _serve_router(self, link: hub_lib.OpenLink) -> None:
         """Gives a router the whole configuration once it is in force."""
-        if not self.keeper.is_in_force() or link.served:
+        if not self.keeper.is_in_force() or link.has_configuration:
             return
-        link.served = True
+        link.has_configuration = True
         payload = self.keeper.snapshot_payload()
         self.hub.send(link, messages.SnapshotMessage(payload))
 
@@ -206,12 +206,15 @@
         else:
             message = messages.SnapshotMessage(self.keeper.snapshot_payload())
         for link in self.hub.peers():
-            if link.told.get(link.peer.host, -1) < self.keeper.position:
+            if (
+                link.known_positions.get(link.peer.host, -1)
+                < self.keeper.position
+            ):
                 self.hub.send(link, message)
         if not self.keeper.is_in_force():
             return
         for link in self.hub.routers():
-            if link.served:
+            if link.has_configuration:
                 self.hub.send(link, message)
             else:
                 self._serve_router(link)
@@ -228,13 +231,16 @@
     ) -> messages.Heartbeat:
         """Returns a heartbeat with the positions not yet told over a link."""
         if everything or self.beats % _FULL_POSITIONS_EVERY == 0:
-            link.told = {link.peer.host: link.told.get(link.peer.host, -1)}
+            link.known_positions = {
+                link.peer.host: link.known_positions.get(link.peer.host, -1)
+            }
         news = {
             host: position
             for host, position in self.positions.items()
-            if link.told.get(host) != position and host != link.peer.host
+            if link.known_positions.get(host) != position
+            and host != link.peer.host
         }
-        link.told.update(news)
+        link.known_positions.update(news)
         heard = self.members.members.get(link.peer.host)
         silent_s = clock.now() - heard.heard_at if heard else -1.0
         return messages.Heartbeat(
@@ -260,7 +266,7 @@
                 known = self.positions.get(host, -1)
                 self.positions[host] = max(position, known)
         self.positions[peer.host] = message.position
-        link.told[peer.host] = message.position
+        link.known_positions[peer.host] = message.position
         self.keeper.record_peer_position(message.position)
         self._note_own_position()
         if message.position > self.keeper.position:
@@ -270,7 +276,9 @@
         self, link: hub_lib.OpenLink, message: messages.Records
     ) -> None:
         last = message.first_offset + len(message.payloads) - 1
-        link.told[link.peer.host] = max(last, link.told.get(link.peer.host, -1))
+        link.known_positions[link.peer.host] = max(
+            last, link.known_positions.get(link.peer.host, -1)
+        )
         if message.first_offset > self.keeper.position + 1:
             self.hub.send(link, messages.WantRecords(self.keeper.position))
             return
@@ -311,7 +319,7 @@
         if link.peer.role == "router":
             peers = self.hub.peers(self.settings.data_centre)
             self.hub.broadcast(peers, message)
-        self.hub.broadcast(self.hub.routers(), message, but=link)
+        self.hub.broadcast(self.hub.routers(), message, excluded=link)
 
     def _tell_members(self) -> None:
         """Tells routers how many others are heard and how many are not."""
@@ -340,7 +348,7 @@
             _logger.warning(
                 "question of %s for records passed over: %d are under way",
                 link.peer.host,
-                link.running,
+                link.running_tasks,
                 extra={"code": "query_passed_over"},
             )
 
--- a/hillthread/coordination/dialer.py
+++ b/hillthread/coordination/dialer.py
@@ -21,7 +21,7 @@
 from hillthread.state.routing import placement
 from hillthread.transport import link as link_lib
 
-__all__ = ["Dialer", "gateways", "wanted_peers"]
+__all__ = ["Dialer", "select_gateway_hosts", "select_peers"]
 
 # Hosts of a data centre that have links to another one: one may be lost.
 _GATEWAYS = 2
@@ -31,7 +31,7 @@
 _MAX_BACKOFF_S = 5.0
 
 
-def gateways(
+def select_gateway_hosts(
     own: str, other: str, hosts: Iterable[str], count: int = _GATEWAYS
 ) -> list[str]:
     """Returns the hosts of `own` that have links to data centre `other`."""
@@ -39,7 +39,7 @@
     return placement.rank_by_rendezvous(key, hosts)[:count]
 
 
-def wanted_peers(
+def select_peers(
     settings: settings_lib.ControlSettings,
     lost: frozenset[str] = frozenset(),
 ) -> list[settings_lib.PeerSettings]:
@@ -57,11 +57,11 @@
     wanted = [peer for peer in mates if settings.host < peer.host]
     mine = [peer.host for peer in mates if peer.host not in lost]
     for other, peers in by_data_centre.items():
-        ours = gateways(own, other, [*mine, settings.host])
+        ours = select_gateway_hosts(own, other, [*mine, settings.host])
         if own > other or settings.host not in ours:
             continue
         alive = [peer.host for peer in peers if peer.host not in lost]
-        theirs = gateways(own, other, alive)
+        theirs = select_gateway_hosts(own, other, alive)
         wanted += [peer for peer in peers if peer.host in theirs]
     return wanted
 
@@ -88,7 +88,7 @@
         self.random = random.Random()
         self._dialing: set[str] = set()
         self._unreached: dict[str, float] = {}
-        self._wanted = wanted_peers(settings)
+        self._wanted = select_peers(settings)
         self._wanted_but: frozenset[str] = frozenset()
 
     async def run(self) -> None:
@@ -102,7 +102,7 @@
         connected = self.hub.connected_hosts()
         lost = self._lost()
         if lost != self._wanted_but:
-            self._wanted = wanted_peers(self.settings, lost)
+            self._wanted = select_peers(self.settings, lost)
             self._wanted_but = lost
         for peer in self._wanted:
             if peer.host in connected or peer.host in self._dialing:
--- a/hillthread/coordination/hub.py
+++ b/hillthread/coordination/hub.py
@@ -38,9 +38,9 @@
 
     def __init__(self, link: link_lib.Link):
         self.link = link
-        self.told: dict[str, int] = {}
-        self.served = False
-        self.running = 0
+        self.known_positions: dict[str, int] = {}
+        self.has_configuration = False
+        self.running_tasks = 0
         self._tasks: anyio.abc.TaskGroup | None = None
         self._send, self._receive = anyio.create_memory_object_stream[bytes](
             _QUEUE
@@ -69,9 +69,9 @@
         Returns:
             False if there is no room for another task; it is not begun.
         """
-        if self._tasks is None or self.running >= MAX_TASKS:
+        if self._tasks is None or self.running_tasks >= MAX_TASKS:
             return False
-        self.running += 1
+        self.running_tasks += 1
         self._tasks.start_soon(self._run_task, function, *arguments)
         return True
 
@@ -81,7 +81,7 @@
         try:
             await function(*arguments)
         finally:
-            self.running -= 1
+            self.running_tasks -= 1
 
     async def serve(self, read: Callable[[], Awaitable[None]]) -> None:
         """Writes and runs tasks until `read` returns."""
@@ -112,8 +112,8 @@
 
     def __init__(self, registry: prometheus_client.CollectorRegistry):
         self.links: dict[int, OpenLink] = {}
-        self.handle: MessageHandler | None = None
-        self.opened: Callable[[OpenLink], None] | None = None
+        self.on_message: MessageHandler | None = None
+        self.on_open: Callable[[OpenLink], None] | None = None
         self._numbers = itertools.count()
         self.events = prometheus_client.Counter(
             "hillthread_link_events",
@@ -141,8 +141,8 @@
         open_link = OpenLink(link)
         self.links[number] = open_link
         self.events.labels("opened", link.peer.role).inc()
-        if self.opened is not None:
-            self.opened(open_link)
+        if self.on_open is not None:
+            self.on_open(open_link)
         try:
             await open_link.serve(lambda: self._read(open_link))
         finally:
@@ -192,7 +192,7 @@
         self,
         targets: list[OpenLink],
         message: messages.Message,
-        but: OpenLink | None = None,
+        excluded: OpenLink | None = None,
     ) -> None:
         """Queues a message for many links, except the one it came from.
 
@@ -200,18 +200,18 @@
         """
         data = messages.encode_message(message)
         for target in targets:
-            if target is not but:
+            if target is not excluded:
                 self._send_encoded(target, data)
 
     def _count_bytes(self, direction: str, count: int) -> None:
         self.bytes.labels(direction).inc(count)
 
     async def _read(self, open_link: OpenLink) -> None:
-        assert self.handle is not None
+        assert self.on_message is not None
         try:
             async for message in open_link.link.receive():
                 self.messages.labels(type(message).__name__).inc()
-                await self.handle(open_link, message)
+                await self.on_message(open_link, message)
         except errors.PeerError as error:
             self.events.labels("malformed", open_link.peer.role).inc()
             _logger.warning("%s", error, extra={"code": error.code})
--- a/tests/coordination/test_control_node.py
+++ b/tests/coordination/test_control_node.py
@@ -81,5 +81,5 @@
             group.start_soon(node.hub.run_link, peer)
             await anyio.sleep(0.2)
             (link,) = node.hub.peers()
-            self.assertEqual(link.running, hub_lib.MAX_TASKS)
+            self.assertEqual(link.running_tasks, hub_lib.MAX_TASKS)
             group.cancel_scope.cancel()
--- a/tests/coordination/test_dialer.py
+++ b/tests/coordination/test_dialer.py
@@ -31,7 +31,7 @@
     return [
         frozenset([own.host, peer.host])
         for own in everyone
-        for peer in dialer.wanted_peers(own)
+        for peer in dialer.select_peers(own)
     ]
 
 
@@ -55,7 +55,7 @@
         between = [
             (own.host, peer.host)
             for own in everyone
-            for peer in dialer.wanted_peers(own)
+            for peer in dialer.select_peers(own)
             if own.data_centre != peer.data_centre
         ]
         lost = frozenset(between[0])
@@ -63,7 +63,7 @@
             (own.host, peer.host)
             for own in everyone
             if own.host not in lost
-            for peer in dialer.wanted_peers(own, lost)
+            for peer in dialer.select_peers(own, lost)
             if own.data_centre != peer.data_centre
         ]
         self.assertEqual(len(again), 4)
