--- a/hillthread/coordination/claim_keeper.py
+++ b/hillthread/coordination/claim_keeper.py
@@ -58,7 +58,7 @@
     def __init__(self, client: log_client.LogClient):
         self.client = client
         self.index = claim_index.ClaimIndex(_WINDOW_S)
-        self.current = False
+        self.is_current = False
         self.appends = 0
         self._new: list[_Pending] = []
         self._released: list[claim_index.Claim] = []
@@ -66,9 +66,9 @@
         self._appended: list[_Pending] = []
         self._wake = anyio.Event()
 
-    def ask(self, digest: str, holder: str, reply: Reply) -> None:
+    def request_claim(self, digest: str, holder: str, reply: Reply) -> None:
         """Asks for a key; `reply` gets the verdict, exactly once."""
-        if not self.current:
+        if not self.is_current:
             reply("unavailable")
             return
         known = self._holder(digest)
@@ -102,23 +102,23 @@
                 page = await self.client.read(
                     STREAM,
                     self.index.position + 1,
-                    wait_s=_LONG_POLL_S if self.current else 0.0,
+                    wait_s=_LONG_POLL_S if self.is_current else 0.0,
                 )
             except log_client.TruncatedError as error:
                 self.index.position = error.first_offset - 1
                 continue
             except errors.LogError:
-                self.current = False
+                self.is_current = False
                 await anyio.sleep(_RETRY_S)
                 continue
             if page.next_offset <= self.index.position:
-                self.current = False
+                self.is_current = False
                 await anyio.sleep(_RETRY_S)
                 continue
             now = clock.now()
             for record in page.records:
                 self.index.apply(record.offset, record.payload, now)
-            self.current = self.index.position + 1 >= page.next_offset
+            self.is_current = self.index.position + 1 >= page.next_offset
             self._decide()
 
     async def _append_batches(self) -> None:
@@ -144,7 +144,7 @@
         try:
             await self.client.append(STREAM, [claim_index.encode_batch(record)])
         except errors.HillthreadError:
-            self.current = False
+            self.is_current = False
 
     def _holder(self, digest: str) -> str | None:
         """Returns who has a key, releases under way left out."""
--- a/hillthread/coordination/control_node.py
+++ b/hillthread/coordination/control_node.py
@@ -64,7 +64,7 @@
         self.claims: claim_keeper_lib.ClaimKeeper | None = None
         self.archive: record_archive.RecordArchive | None = None
         self.positions: dict[str, int] = {}
-        self.beats = 0
+        self.heartbeat_count = 0
         self.engines = engine_roster.EngineRoster(
             settings.host, settings.data_centre, self.keeper, self.members
         )
@@ -103,7 +103,7 @@
             self._note_own_position()
             for link in self.hub.peers():
                 self.hub.send(link, self._heartbeat(link))
-            self.beats += 1
+            self.heartbeat_count += 1
             if self.members.tick(clock.now()):
                 self.alive_metric.set(len(self.members.list_alive()))
             self._tell_members()
@@ -122,7 +122,7 @@
             case messages.SnapshotMessage():
                 self._take_snapshot(message)
             case messages.TargetState():
-                self.tell_target_state(message, link)
+                self.publish_target_state(message, link)
             case messages.Loads():
                 self.engines.apply_loads(message)
                 self.hub.broadcast(self.hub.routers(), message)
@@ -131,7 +131,7 @@
             case messages.RecordQuery():
                 self._answer_query(link, message)
             case messages.RecordReply():
-                self.records.take(message)
+                self.records.apply_reply(message)
             case _:
                 self._handle_of_router(link, message)
 
@@ -147,7 +147,7 @@
             case messages.ClaimRequest():
                 self._claim(link, message)
 
-    def tell_target_state(
+    def publish_target_state(
         self,
         state: messages.TargetState,
         source: hub_lib.OpenLink | None = None,
@@ -161,7 +161,7 @@
             everyone = list(self.hub.links.values())
             self.hub.broadcast(everyone, state, source)
 
-    def tell_loads(self, message: messages.Loads) -> None:
+    def publish_loads(self, message: messages.Loads) -> None:
         """Tells loads read here to the data centre's routers."""
         self.engines.apply_loads(message)
         self.hub.broadcast(self.hub.routers(), message)
@@ -230,7 +230,7 @@
         self, link: hub_lib.OpenLink, everything: bool = False
     ) -> messages.Heartbeat:
         """Returns a heartbeat with the positions not yet told over a link."""
-        if everything or self.beats % _FULL_POSITIONS_EVERY == 0:
+        if everything or self.heartbeat_count % _FULL_POSITIONS_EVERY == 0:
             link.known_positions = {
                 link.peer.host: link.known_positions.get(link.peer.host, -1)
             }
@@ -335,7 +335,7 @@
         self, query: messages.RecordQuery
     ) -> list[dict[str, Any]]:
         """Returns decision records kept by hosts, else on the log."""
-        found = await self.records.find_everywhere(query)
+        found = await self.records.find_on_all_hosts(query)
         if found or not query.request_id or self.archive is None:
             return found
         return await self.archive.find(query.request_id, query.tenant)
@@ -344,7 +344,7 @@
         self, link: hub_lib.OpenLink, query: messages.RecordQuery
     ) -> None:
         """Asks the own router, which may take long or be paused."""
-        if not link.start_task(self.records.answer, link, query):
+        if not link.start_task(self.records.answer_query, link, query):
             _logger.warning(
                 "question of %s for records passed over: %d are under way",
                 link.peer.host,
@@ -359,7 +359,7 @@
             reply = messages.ClaimReply(request.claim_id, "unavailable")
             self.hub.send(link, reply)
             return
-        self.claims.ask(
+        self.claims.request_claim(
             request.digest.hex(),
             request.holder,
             lambda verdict: self.hub.send(
--- a/hillthread/coordination/lease_keeper.py
+++ b/hillthread/coordination/lease_keeper.py
@@ -49,7 +49,7 @@
         self._read_since_gap = False
 
     @property
-    def fencing(self) -> int:
+    def fencing_token(self) -> int:
         """The fencing number of the lease now held."""
         return self.contender.state.fencing
 
--- a/hillthread/coordination/order_keeper.py
+++ b/hillthread/coordination/order_keeper.py
@@ -184,7 +184,7 @@
     async def _give(self, target: objects.Target) -> None:
         order = Order(
             secrets.token_hex(8),
-            self.lease.fencing,
+            self.lease.fencing_token,
             target.weights_version,
             _DEADLINE_S,
         )
--- a/hillthread/coordination/record_archive.py
+++ b/hillthread/coordination/record_archive.py
@@ -20,7 +20,7 @@
 from hillthread import errors
 from hillthread.transport import log_client
 
-__all__ = ["RecordArchive", "stream_of"]
+__all__ = ["RecordArchive", "record_stream_name"]
 
 # Records of this time share an append.
 _FLUSH_S = 1.0
@@ -36,7 +36,7 @@
 _logger = logging.getLogger(__name__)
 
 
-def stream_of(data_centre: str) -> str:
+def record_stream_name(data_centre: str) -> str:
     """Returns the stream of a data centre's records."""
     return f"records-{data_centre}"
 
@@ -114,7 +114,9 @@
         ]
         payload = b"[" + b",".join(batch) + b"]"
         try:
-            await self.client.append(stream_of(self.data_centre), [payload])
+            await self.client.append(
+                record_stream_name(self.data_centre), [payload]
+            )
         except errors.HillthreadError as error:
             self._put_back(batch, error)
             return False
@@ -139,7 +141,7 @@
         self, data_centre: str, request_id: str
     ) -> list[dict[str, Any]]:
         """Returns the request's record among the newest of a stream."""
-        stream = stream_of(data_centre)
+        stream = record_stream_name(data_centre)
         needle = request_id.encode()
         start = 0
         for _ in range(_MAX_SEARCHED):
--- a/hillthread/coordination/record_finder.py
+++ b/hillthread/coordination/record_finder.py
@@ -35,11 +35,11 @@
 
     def __init__(self, hub: hub_lib.Hub):
         self.hub = hub
-        self.unanswered = 0
+        self.missing_replies = 0
         self._ids = itertools.count()
         self._gatherings: dict[int, _Gathering] = {}
 
-    async def find_everywhere(
+    async def find_on_all_hosts(
         self, query: messages.RecordQuery
     ) -> list[dict[str, Any]]:
         """Returns what this and all linked hosts keep, the newest first."""
@@ -50,7 +50,7 @@
         found.sort(key=lambda record: -record["received_at"])
         return found
 
-    async def answer(
+    async def answer_query(
         self, link: hub_lib.OpenLink, query: messages.RecordQuery
     ) -> None:
         """Answers another host with what the own router keeps."""
@@ -59,7 +59,7 @@
         documents = replies[0].documents if replies else b"[]"
         self.hub.send(link, messages.RecordReply(query.query_id, documents))
 
-    def take(self, reply: messages.RecordReply) -> None:
+    def apply_reply(self, reply: messages.RecordReply) -> None:
         """Takes in a reply; one that comes late is passed over."""
         gathering = self._gatherings.get(reply.query_id)
         if gathering is None:
@@ -86,5 +86,5 @@
                 await gathering.complete.wait()
         finally:
             del self._gatherings[own_id]
-        self.unanswered += gathering.wanted - len(gathering.replies)
+        self.missing_replies += gathering.wanted - len(gathering.replies)
         return gathering.replies
--- a/hillthread/coordination/target_watch.py
+++ b/hillthread/coordination/target_watch.py
@@ -111,7 +111,7 @@
             await reads.complete.wait()
         reads.told = True
         if reads.loads:
-            self.node.tell_loads(messages.Loads(reads.loads))
+            self.node.publish_loads(messages.Loads(reads.loads))
 
     async def run_host_list(self) -> None:
         """Reads the platform's host list until cancelled."""
@@ -145,7 +145,7 @@
             if load is None:
                 return
             if reads.told:
-                self.node.tell_loads(messages.Loads([load]))
+                self.node.publish_loads(messages.Loads([load]))
             else:
                 reads.loads.append(load)
         finally:
@@ -164,7 +164,7 @@
             return None
         epoch = engine.epoch_of(response.headers)
         if engine.LEAVING in response.headers:
-            self.node.tell_target_state(
+            self.node.publish_target_state(
                 messages.TargetState(target.name, epoch.incarnation, True)
             )
         return messages.TargetLoad(
@@ -182,4 +182,4 @@
             state = messages.TargetState(
                 line.name, line.incarnation, line.state == "leaving"
             )
-            self.node.tell_target_state(state)
+            self.node.publish_target_state(state)
--- a/tests/coordination/test_lease_keeper.py
+++ b/tests/coordination/test_lease_keeper.py
@@ -98,7 +98,7 @@
             await anyio.sleep(0.3)
             group.cancel_scope.cancel()
         self.assertEqual(follower.contender.state.holder, "a")
-        self.assertEqual(follower.fencing, 1)
+        self.assertEqual(follower.fencing_token, 1)
         self.assertFalse(follower.may_act())
 
     async def test_lease_is_taken_after_the_holder_is_gone(self):
--- a/tests/coordination/test_order_keeper.py
+++ b/tests/coordination/test_order_keeper.py
@@ -70,7 +70,7 @@
 
     def make_keeper(self, targets):
         lease = types.SimpleNamespace(
-            may_act=lambda: True, fencing=1, acquired_at=0.0
+            may_act=lambda: True, fencing_token=1, acquired_at=0.0
         )
         node = Node(targets)
         keeper = order_keeper.OrderKeeper(
--- a/tests/coordination/test_target_watch.py
+++ b/tests/coordination/test_target_watch.py
@@ -33,11 +33,11 @@
     def list_watched(self):
         return self.targets
 
-    def tell_loads(self, message):
+    def publish_loads(self, message):
         for each in message.loads:
             self.told.setdefault(each.target, []).append(time.monotonic())
 
-    def tell_target_state(self, state):
+    def publish_target_state(self, state):
         self.states.append(state)
 
 
