--- a/hillthread/coordination/exchange.py
+++ b/hillthread/coordination/exchange.py
@@ -38,10 +38,10 @@
     parsed: intake.ParsedRequest
     tenant: objects.Tenant
     record: records.RequestRecord
-    arrived: float
+    arrived_at: float
     deadline: float
-    started: bool = False
-    closing: bool = False
+    has_sent_head: bool = False
+    closes_connection: bool = False
 
     @property
     def request_id(self) -> str:
@@ -59,13 +59,13 @@
         return self.parsed.resolved
 
     @property
-    def streamed(self) -> bool:
+    def is_streamed(self) -> bool:
         """Whether the caller gets server-sent events."""
         return self.completion is not None and self.completion.stream
 
     def elapsed(self) -> float:
         """Returns seconds since the request came in."""
-        return clock.now() - self.arrived
+        return clock.now() - self.arrived_at
 
     def add_attempt(
         self, decision: decision_lib.Decision
@@ -93,9 +93,9 @@
         self, status: int, headers: list[tuple[bytes, bytes]]
     ) -> None:
         """Sends the head of the answer to the caller."""
-        self.started = True
+        self.has_sent_head = True
         fixed = [(b"x-request-id", self.request_id.encode())]
-        if self.closing:
+        if self.closes_connection:
             fixed.append((b"connection", b"close"))
         await self.send(
             {
@@ -105,7 +105,7 @@
             }
         )
 
-    async def send_part(self, data: bytes) -> None:
+    async def send_chunk(self, data: bytes) -> None:
         """Sends a part of the answer; waits while the caller is slow."""
         await self.send(
             {"type": "http.response.body", "body": data, "more_body": True}
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -111,7 +111,7 @@
             return False
         if not exchange.record.repeatable and not _surely_not_run(exchange):
             return False
-        if exchange.started and not job.may_continue():
+        if exchange.has_sent_head and not job.may_continue():
             return False
         budget = self.fleet.retry_budget(exchange.resolved.pool)
         return budget.withdraw(clock.now())
@@ -139,7 +139,7 @@
         self.failures = 0
         self._news = 0
         self.weights_version = ""
-        self.stream = self._stream_relay() if exchange.streamed else None
+        self.stream = self._stream_relay() if exchange.is_streamed else None
         self.whole = whole_relay.WholeRelay(
             exchange,
             forwarder.client,
@@ -189,7 +189,7 @@
             resolved.pool,
             self.exchange.record.model,
             frozenset(self.tried),
-            self.weights_version if self.exchange.started else "",
+            self.weights_version if self.exchange.has_sent_head else "",
         )
 
     def _target(self, attempt: records.AttemptRecord) -> objects.Target:
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -144,7 +144,7 @@
                 record,
                 arrived,
                 arrived + parsed.resolved.route.timeout_s,
-                closing=self.draining,
+                closes_connection=self.draining,
             )
             await self._serve_within_limits(started)
             record.outcome = _outcome(record)
@@ -277,7 +277,7 @@
     ) -> None:
         record.code = refusal.code
         record.run = refusal.run
-        if exchange is not None and exchange.started:
+        if exchange is not None and exchange.has_sent_head:
             record.outcome = "broken"
             await stream_relay.send_stream_error(exchange, refusal)
             return
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -135,14 +135,14 @@
     ) -> None:
         if expected.attempt.first_token_s is None:
             self._note_first_token(expected.attempt)
-        if not self.exchange.started:
+        if not self.exchange.has_sent_head:
             await self.exchange.begin_answer(200, _STREAM_HEADERS)
-        await self.exchange.send_part(data)
+        await self.exchange.send_chunk(data)
 
     def _note_first_token(self, attempt: records.AttemptRecord) -> None:
         attempt.first_token_s = self.exchange.elapsed()
         self.fleet.record_first_token(attempt.attempt_id, clock.now())
-        if not self.exchange.started:
+        if not self.exchange.has_sent_head:
             self.metrics.observe_first_token(
                 self.exchange.tenant.name, attempt.first_token_s
             )
@@ -169,7 +169,7 @@
     ) -> None:
         """Passes on a target's own 4xx answer, which is the answer."""
         data = await self.client.read_all(response, self.max_event_bytes)
-        if self.exchange.started:
+        if self.exchange.has_sent_head:
             raise target_client.AttemptError(
                 records.AttemptState.ACCEPTED,
                 f"status {response.status_code} to a continued stream",
@@ -265,6 +265,6 @@
 
     The body is left without its end, so that no client takes it for whole.
     """
-    if exchange.streamed:
+    if exchange.is_streamed:
         data = openai.error_body(refusal, exchange.request_id)
-        await exchange.send_part(event_stream.encode_event(None, data))
+        await exchange.send_chunk(event_stream.encode_event(None, data))
--- a/hillthread/coordination/whole_relay.py
+++ b/hillthread/coordination/whole_relay.py
@@ -88,7 +88,7 @@
             return
         await self.exchange.begin_answer(status, passed)
         async for chunk in self.client.read(response):
-            await self.exchange.send_part(chunk)
+            await self.exchange.send_chunk(chunk)
         await self.exchange.end_answer()
 
     async def _relay_completion(
--- a/tests/coordination/test_forwarder.py
+++ b/tests/coordination/test_forwarder.py
@@ -22,7 +22,7 @@
         self.fleet.retry_budget.return_value.withdraw.return_value = True
         policy = types.SimpleNamespace(max_attempts=3)
         self.exchange = mock.Mock(started=False, deadline=float("inf"))
-        self.exchange.streamed = False
+        self.exchange.is_streamed = False
         self.exchange.resolved.policy = policy
         self.exchange.run_state.return_value = errors.RunState.NOT_RUN
         self.sends = 0
