--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -157,7 +157,9 @@
 
     def notify_suspects(self, notices: list[work_notice.SuspectNotice]) -> None:
         """Tells of requests under which targets end, once and at once."""
-        for some in work_notice.pages(notices, work_notice.MAX_SUSPECT_NOTICES):
+        for some in work_notice.split_notices(
+            notices, work_notice.MAX_SUSPECT_NOTICES
+        ):
             self._tell_directly(suspects=some)
 
     def report_usage(self) -> None:
@@ -257,13 +259,16 @@
             self.source.hosts.values(),
             random.choice,
         )
-        uses = work_notice.PacketUse
-        for use, is_forwarder in ((uses.TAKE, False), (uses.PASS_ON, True)):
+        actions = work_notice.PacketAction
+        for action, is_forwarder in (
+            (actions.APPLY, False),
+            (actions.FORWARD, True),
+        ):
             hosts = [
                 r.host for r in receivers if r.is_forwarder is is_forwarder
             ]
             packet = work_notice.Packet(
-                use,
+                action,
                 list(work),
                 list(weights),
                 suspects,
@@ -296,7 +301,7 @@
             handed = self.usage.report_to(key, now, self.site.cluster_size)
             usage = [handed] if handed else []
         packet = work_notice.Packet(
-            work_notice.PacketUse.GATHER, work, [], usage=usage
+            work_notice.PacketAction.GATHER, work, [], usage=usage
         )
         self._send(packet, [entry])
 
@@ -324,22 +329,32 @@
     def _hand_on(self) -> None:
         """Hands on what hosts have sent, and what is known of targets."""
         weights, self._weights = self._weights, []
-        for some in work_notice.pages(weights, work_notice.MAX_WORK_NOTICES):
+        for some in work_notice.split_notices(
+            weights, work_notice.MAX_WORK_NOTICES
+        ):
             self._tell_directly(weights=some)
         named, self._limits = self._limits, []
-        for some in work_notice.pages(named, work_notice.MAX_LIMIT_NOTICES):
+        for some in work_notice.split_notices(
+            named, work_notice.MAX_LIMIT_NOTICES
+        ):
             self._tell_directly(limits=some)
         left, self._departures = self._departures, []
-        for some in work_notice.pages(left, work_notice.MAX_DEPARTURE_NOTICES):
+        for some in work_notice.split_notices(
+            left, work_notice.MAX_DEPARTURE_NOTICES
+        ):
             self._tell_directly(departures=some)
         own, self._own_part = self._own_part, []
         others, self._others_part = self._others_part, []
         own_usage, others_usage = self._usage_to_hand_on()
-        uses = work_notice.PacketUse
-        for packet in work_notice.packets(uses.SPREAD, own, own_usage):
+        actions = work_notice.PacketAction
+        for packet in work_notice.make_packets(
+            actions.DISTRIBUTE, own, own_usage
+        ):
             self._send(packet, self.gatherer.list_remote_gatherers())
         usage = own_usage + others_usage
-        for packet in work_notice.packets(uses.TAKE, own + others, usage):
+        for packet in work_notice.make_packets(
+            actions.APPLY, own + others, usage
+        ):
             self._send(packet, self.gatherer.list_neighbours())
 
     def _usage_to_hand_on(
@@ -382,18 +397,18 @@
             return
         self.received_packets += 1
         now = clock.now()
-        match packet.use:
-            case work_notice.PacketUse.GATHER:
+        match packet.action:
+            case work_notice.PacketAction.GATHER:
                 self._gather(packet.work, self._own_part, now)
                 self._gather_usage(packet, now)
-            case work_notice.PacketUse.SPREAD:
+            case work_notice.PacketAction.DISTRIBUTE:
                 if not self.gatherer.is_gatherer(now):
                     return  # it comes from the gatherer, too
                 self._gather(packet.work, self._others_part, now)
                 self._keep_usage(packet)
-            case work_notice.PacketUse.PASS_ON:
+            case work_notice.PacketAction.FORWARD:
                 self._send(
-                    packet._replace(use=work_notice.PacketUse.TAKE),
+                    packet._replace(action=work_notice.PacketAction.APPLY),
                     self.gatherer.list_neighbours(),
                 )
         self._take_in(packet, now)
@@ -411,7 +426,10 @@
             self.apply_limit(limit)
         for departure in packet.departures:
             self.apply_departure(departure)
-        if self.usage is None or packet.use is work_notice.PacketUse.GATHER:
+        if (
+            self.usage is None
+            or packet.action is work_notice.PacketAction.GATHER
+        ):
             return
         for group in packet.usage:
             self.apply_usage(self.usage.apply_notice(group, now))
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -198,10 +198,10 @@
                 },
             },
         )
-        word = work_notice.SuspectWord.ENDED
+        event = work_notice.SuspectEvent.TARGET_CRASHED
         self._notify(
             [
-                work_notice.SuspectNotice(digest, incarnation, word)
+                work_notice.SuspectNotice(digest, incarnation, event)
                 for digest in digests
             ]
         )
@@ -215,12 +215,12 @@
         """Applies what another host has seen of a request."""
         now = clock.now()
         records = self.site.quarantine
-        match notice.word:
-            case work_notice.SuspectWord.WELL:
+        match notice.event:
+            case work_notice.SuspectEvent.SUCCEEDED:
                 records.record_success(notice.digest, now)
-            case work_notice.SuspectWord.TRIED:
+            case work_notice.SuspectEvent.TRIAL_STARTED:
                 records.begin_trial(notice.digest, now)
-            case work_notice.SuspectWord.ENDED:
+            case work_notice.SuspectEvent.TARGET_CRASHED:
                 records.record_end(notice.digest, notice.engine, now)
 
     def apply_record(self, record: topic_copy.TopicRecord) -> None:
@@ -290,8 +290,8 @@
     def _start_trial(self, digest: str, now: float) -> None:
         """Starts the trial of a suspect and notifies the other hosts."""
         self.site.quarantine.begin_trial(digest, now)
-        word = work_notice.SuspectWord.TRIED
-        self._notify([work_notice.SuspectNotice(digest, 0, word)])
+        event = work_notice.SuspectEvent.TRIAL_STARTED
+        self._notify([work_notice.SuspectNotice(digest, 0, event)])
 
     def _publish_clearing(self, digest: str) -> None:
         """Notifies all hosts that a request is no longer a suspect."""
@@ -299,8 +299,8 @@
             "suspect cleared",
             extra={"event": "suspect_cleared", "digest": digest},
         )
-        word = work_notice.SuspectWord.WELL
-        self._notify([work_notice.SuspectNotice(digest, 0, word)])
+        event = work_notice.SuspectEvent.SUCCEEDED
+        self._notify([work_notice.SuspectNotice(digest, 0, event)])
         if digest in self._stored_digests:
             self.tasks.start_soon(self._write_record, digest, b"")
 
@@ -340,7 +340,7 @@
         A stale trial notice would make peers wait for a trial that has
         finished.
         """
-        if notice.word is not work_notice.SuspectWord.TRIED:
+        if notice.event is not work_notice.SuspectEvent.TRIAL_STARTED:
             return True
         return self.site.quarantine.has_running_trial(
             notice.digest, clock.now()
--- a/hillthread/protocol/work_notice.py
+++ b/hillthread/protocol/work_notice.py
@@ -28,17 +28,17 @@
     "MAX_SUSPECT_NOTICES",
     "MAX_WORK_NOTICES",
     "Packet",
-    "PacketUse",
+    "PacketAction",
     "SuspectNotice",
-    "SuspectWord",
+    "SuspectEvent",
     "WeightsNotice",
     "WorkNotice",
     "checksum",
     "decode_packet",
     "encode_packet",
     "has_room",
-    "packets",
-    "pages",
+    "make_packets",
+    "split_notices",
 ]
 
 _Notice = TypeVar("_Notice")
@@ -64,13 +64,13 @@
 _FRAME_BYTES = 16
 
 
-class PacketUse(enum.StrEnum):
+class PacketAction(enum.StrEnum):
     """What the receiver of a packet does with it, besides taking it in."""
 
-    TAKE = "t"
-    PASS_ON = "p"  # tells the other hosts of its data centre
+    APPLY = "t"
+    FORWARD = "p"  # tells the other hosts of its data centre
     GATHER = "g"  # hands it on to all hosts, together with others'
-    SPREAD = "s"  # hands it on in its data centre, together with others'
+    DISTRIBUTE = "s"  # hands it on in its data centre, together with others'
 
 
 class WorkNotice(NamedTuple):
@@ -110,12 +110,12 @@
     loading: bool
 
 
-class SuspectWord(enum.StrEnum):
+class SuspectEvent(enum.StrEnum):
     """What a host has seen of a request under which targets may end."""
 
-    ENDED = "e"  # a target ended while it was open there
-    WELL = "w"  # it has ended well, and is no suspect any more
-    TRIED = "t"  # one host tries it for all
+    TARGET_CRASHED = "e"  # a target ended while it was open there
+    SUCCEEDED = "w"  # it has ended well, and is no suspect any more
+    TRIAL_STARTED = "t"  # one host tries it for all
 
 
 class SuspectNotice(NamedTuple):
@@ -129,7 +129,7 @@
 
     digest: str
     engine: int
-    word: SuspectWord
+    event: SuspectEvent
 
 
 class LimitNotice(NamedTuple):
@@ -169,7 +169,7 @@
         departures: Targets that announced their departure.
     """
 
-    use: PacketUse
+    action: PacketAction
     work: list[WorkNotice]
     weights: list[WeightsNotice]
     suspects: Sequence[SuspectNotice] = ()
@@ -185,7 +185,7 @@
 
 def encode_packet(packet: Packet) -> bytes:
     """Returns a packet as CBOR."""
-    fields: list[Any] = [str(packet.use)]
+    fields: list[Any] = [str(packet.action)]
     told: list[Sequence[Any]] = [
         packet.work,
         packet.weights,
@@ -224,15 +224,15 @@
         ) from error
 
 
-def pages(notices: list[_Notice], size: int) -> list[list[_Notice]]:
+def split_notices(notices: list[_Notice], size: int) -> list[list[_Notice]]:
     """Returns notices in parts that a packet carries."""
     return [
         notices[start : start + size] for start in range(0, len(notices), size)
     ]
 
 
-def packets(
-    use: PacketUse,
+def make_packets(
+    action: PacketAction,
     notices: list[WorkNotice],
     usage: list[usage_exchange.UsageNotice],
 ) -> list[Packet]:
@@ -241,12 +241,13 @@
     What is told of use goes with the last of the work where there is room.
     """
     packed = [
-        Packet(use, some, []) for some in pages(notices, MAX_WORK_NOTICES)
+        Packet(action, some, [])
+        for some in split_notices(notices, MAX_WORK_NOTICES)
     ]
     for notice in usage:
         if packed and has_room(packed[-1], notice):
             told = [*packed[-1].usage, notice]
             packed[-1] = packed[-1]._replace(usage=told)
         else:
-            packed.append(Packet(use, [], [], usage=[notice]))
+            packed.append(Packet(action, [], [], usage=[notice]))
     return packed
--- a/tests/coordination/gateway/peers/test_work_feed.py
+++ b/tests/coordination/gateway/peers/test_work_feed.py
@@ -87,10 +87,10 @@
                 program.source.put(near)
             address = settings_lib.split_address(program.feed_server.address)
             notice = work_notice.WorkNotice(0, 2_000, 0, [], 2_000, 0)
-            uses = work_notice.PacketUse
-            packet = work_notice.Packet(uses.PASS_ON, [notice], [])
+            actions = work_notice.PacketAction
+            packet = work_notice.Packet(actions.FORWARD, [notice], [])
             raw = work_notice.encode_packet(packet)
-            gather = packet._replace(use=uses.GATHER)
+            gather = packet._replace(action=actions.GATHER)
             raw_to_gather = work_notice.encode_packet(gather)
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
                 for _ in range(10):
@@ -164,7 +164,7 @@
             program = scene.program
             notice = work_notice.WorkNotice(0, 2_000, 0, [], 2_000, 0)
             packet = work_notice.Packet(
-                work_notice.PacketUse.GATHER, [notice] * 18, []
+                work_notice.PacketAction.GATHER, [notice] * 18, []
             )
             for _ in range(100):
                 program.work._take(work_notice.encode_packet(packet))
@@ -185,12 +185,12 @@
             2_890,
             2**32 - 1,
         )
-        uses = work_notice.PacketUse
+        actions = work_notice.PacketAction
         two = work_notice.encode_packet(
-            work_notice.Packet(uses.TAKE, [notice] * 2, [])
+            work_notice.Packet(actions.APPLY, [notice] * 2, [])
         )
         one = work_notice.encode_packet(
-            work_notice.Packet(uses.TAKE, [notice], [])
+            work_notice.Packet(actions.APPLY, [notice], [])
         )
         each = len(two) - len(one)
         self.assertLessEqual(work_feed._GATHERED_PER_S * each, 15_000)
--- a/tests/protocol/test_work_notice.py
+++ b/tests/protocol/test_work_notice.py
@@ -18,21 +18,21 @@
 
 class WorkNoticeTest(unittest.TestCase):
     def test_packet_is_read_as_it_was_written(self):
-        for use in work_notice.PacketUse:
-            packet = work_notice.Packet(use, [WORK, WORK], [WEIGHTS])
+        for action in work_notice.PacketAction:
+            packet = work_notice.Packet(action, [WORK, WORK], [WEIGHTS])
             raw = work_notice.encode_packet(packet)
             self.assertEqual(work_notice.decode_packet(raw), packet)
 
     def test_as_many_notices_as_are_allowed_fit_into_a_packet(self):
         work = [WORK] * work_notice.MAX_WORK_NOTICES
-        packet = work_notice.Packet(work_notice.PacketUse.TAKE, work, [])
+        packet = work_notice.Packet(work_notice.PacketAction.APPLY, work, [])
         raw = work_notice.encode_packet(packet)
         self.assertLessEqual(len(raw), work_notice.MAX_PACKET_BYTES)
 
     def test_as_many_departures_as_are_allowed_fit_into_a_packet(self):
         notice = work_notice.DepartureNotice(0xFFFF_FFFF)
         packet = work_notice.Packet(
-            work_notice.PacketUse.PASS_ON,
+            work_notice.PacketAction.FORWARD,
             [],
             [],
             departures=[notice] * work_notice.MAX_DEPARTURE_NOTICES,
--- a/tests/state/quotas/test_usage_exchange.py
+++ b/tests/state/quotas/test_usage_exchange.py
@@ -119,7 +119,7 @@
             for n in range(usage_exchange.MAX_TOTALS)
         ]
         notice = usage_exchange.UsageNotice(1 << 47, 1 << 31, 420, totals)
-        packet = work_notice.Packet(work_notice.PacketUse.TAKE, [], [])
+        packet = work_notice.Packet(work_notice.PacketAction.APPLY, [], [])
         while work_notice.has_room(packet, notice):
             packet = packet._replace(usage=[*packet.usage, notice])
         self.assertGreaterEqual(len(packet.usage), 2)
