--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -78,7 +78,7 @@
         name = expected.target.name
         if engine.INCARNATION not in response.headers:
             return None
-        epoch = engine.epoch_of(response.headers)
+        epoch = engine.parse_epoch(response.headers)
         expected.attempt.incarnation = epoch.incarnation
         expected.attempt.weights_version = epoch.weights_version
         self.fleet.observe_epoch(name, epoch)
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -221,9 +221,9 @@
                 for each in message.placements:
                     fleet.apply_placement_notice(_as_share(each), now)
             case messages.Members():
-                fleet.reachable_router_count = message.heard
-                fleet.unreachable_router_count = message.silent
-                self.router.demand_shares.router_count = 1 + message.heard
+                fleet.reachable_router_count = message.reachable
+                fleet.unreachable_router_count = message.unreachable
+                self.router.demand_shares.router_count = 1 + message.reachable
             case messages.Demand():
                 self.router.demand_shares.update_peer(
                     message.host, message.rates, clock.now()
--- a/hillthread/coordination/control_node.py
+++ b/hillthread/coordination/control_node.py
@@ -292,7 +292,7 @@
         ):
             # This host started on a log that came back older and went on
             # another way; what a peer has in force is further on.
-            self.hub.send(link, messages.WantRecords(messages.EVERYTHING))
+            self.hub.send(link, messages.WantRecords(messages.FULL_SNAPSHOT))
 
     def _take_snapshot(self, message: messages.SnapshotMessage) -> None:
         try:
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -221,7 +221,9 @@
             )
 
     def _headers(self, expected: attempt_checks.Expectation) -> dict[str, str]:
-        result = headers_lib.forwarded(self.exchange.request.headers)
+        result = headers_lib.filter_request_headers(
+            self.exchange.request.headers
+        )
         result[engine.REQUEST_ID] = expected.attempt.attempt_id
         if expected.epoch is not None and expected.must_echo:
             result[engine.EXPECT_WEIGHTS] = expected.epoch.weights_version
@@ -241,10 +243,12 @@
         priority = self.exchange.resolved.policy.priority
         progress = stream.progress
         if progress.next_index == 0:
-            return openai.upstream_body(completion, self._salt(), priority)
+            return openai.encode_upstream_body(
+                completion, self._salt(), priority
+            )
         progress.earlier_tokens = progress.next_index
         self.forwarder.metrics.resumes.labels("continue").inc()
-        return openai.continuation_body(
+        return openai.encode_continuation_body(
             completion,
             self._salt(),
             priority,
@@ -257,7 +261,7 @@
         if completion is None:
             return self.exchange.parsed.body or None
         priority = self.exchange.resolved.policy.priority
-        return openai.upstream_body(completion, self._salt(), priority)
+        return openai.encode_upstream_body(completion, self._salt(), priority)
 
     def _stream_relay(self) -> stream_relay.StreamRelay:
         return stream_relay.StreamRelay(
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -246,7 +246,7 @@
         self._is_truncated = False
         # A peer may know of a restoration before the store has answered.
         self.context.client.note_era(page.position.era)
-        if page.whole:
+        if page.is_snapshot:
             if page.position < (self.copy.position or _START):
                 return  # it knows less than this host
             self._take_whole(page.records, page.position)
--- a/hillthread/coordination/order_keeper.py
+++ b/hillthread/coordination/order_keeper.py
@@ -229,7 +229,7 @@
             return "unknown"
         if response.status_code != 200:
             return "refused"
-        epoch = engine.epoch_of(response.headers)
+        epoch = engine.parse_epoch(response.headers)
         self.node.engines.epochs[target.name] = epoch
         if epoch.weights_version != order.weights_version:
             return "unheeded"
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -266,5 +266,5 @@
     The body is left without its end, so that no client takes it for whole.
     """
     if exchange.is_streamed:
-        data = openai.error_body(refusal, exchange.request_id)
+        data = openai.encode_error_body(refusal, exchange.request_id)
         await exchange.send_chunk(event_stream.encode_event(None, data))
--- a/hillthread/coordination/target_watch.py
+++ b/hillthread/coordination/target_watch.py
@@ -162,7 +162,7 @@
         except (httpx.HTTPError, TimeoutError, ValueError):
             self.failures += 1
             return None
-        epoch = engine.epoch_of(response.headers)
+        epoch = engine.parse_epoch(response.headers)
         if engine.LEAVING in response.headers:
             self.node.publish_target_state(
                 messages.TargetState(target.name, epoch.incarnation, True)
--- a/hillthread/coordination/whole_relay.py
+++ b/hillthread/coordination/whole_relay.py
@@ -78,7 +78,7 @@
     async def _relay_plain(
         self, response: target_client.TargetResponse
     ) -> None:
-        passed = headers_lib.answered(response.header_items)
+        passed = headers_lib.filter_answer_headers(response.header_items)
         status = response.status_code
         length = response.headers.get("content-length", "")
         if length.isdigit() and int(length) <= _SHORT_BYTES:
@@ -100,7 +100,7 @@
         if response.status_code == 200:
             self._check_whole(data, expected.attempt)
             self.usage = engine.decode_usage(data)
-        passed = headers_lib.answered(response.header_items)
+        passed = headers_lib.filter_answer_headers(response.header_items)
         await self.exchange.begin_answer(response.status_code, passed)
         await self.exchange.end_answer(data)
 
--- a/hillthread/protocol/engine.py
+++ b/hillthread/protocol/engine.py
@@ -22,7 +22,7 @@
     "AnswerUsage",
     "cache_salt",
     "decode_usage",
-    "epoch_of",
+    "parse_epoch",
     "parse_metrics",
 ]
 
@@ -98,7 +98,7 @@
     return AnswerUsage(usage.prompt_tokens, usage.completion_tokens, cached)
 
 
-def epoch_of(headers: Any) -> warmth.CacheEpoch:
+def parse_epoch(headers: Any) -> warmth.CacheEpoch:
     """Returns the epoch an engine names in the headers of an answer."""
     return warmth.CacheEpoch(
         headers.get(INCARNATION, ""), headers.get(WEIGHTS_VERSION, "")
--- a/hillthread/protocol/feed.py
+++ b/hillthread/protocol/feed.py
@@ -73,7 +73,7 @@
     """
 
     position: position_lib.Position
-    whole: bool
+    is_snapshot: bool
     age_s: float
     records: list[topic_copy.TopicRecord]
 
@@ -82,7 +82,7 @@
     """A page on the wire."""
 
     position: position_lib.Position
-    whole: bool
+    is_snapshot: bool
     age_s: float
     packed: bytes
 
@@ -128,7 +128,10 @@
 
 
 def encode_page(
-    position: position_lib.Position, whole: bool, age_s: float, packed: bytes
+    position: position_lib.Position,
+    is_snapshot: bool,
+    age_s: float,
+    packed: bytes,
 ) -> bytes:
     """Returns a page as CBOR.
 
@@ -138,7 +141,7 @@
         age_s: As in the page.
         packed: Its records.
     """
-    return cbor2.dumps([position, whole, age_s, packed])
+    return cbor2.dumps([position, is_snapshot, age_s, packed])
 
 
 def decode_page(raw: bytes) -> FeedPage:
@@ -152,7 +155,7 @@
         records = msgspec.convert(
             cbor2.loads(_unpack(page.packed)), list[topic_copy.TopicRecord]
         )
-        return FeedPage(page.position, page.whole, page.age_s, records)
+        return FeedPage(page.position, page.is_snapshot, page.age_s, records)
     except (
         cbor2.CBORDecodeError,
         msgspec.ValidationError,
--- a/hillthread/protocol/headers.py
+++ b/hillthread/protocol/headers.py
@@ -8,7 +8,12 @@
 import math
 import time
 
-__all__ = ["answered", "forwarded", "parse_decimal", "parse_retry_after"]
+__all__ = [
+    "filter_answer_headers",
+    "filter_request_headers",
+    "parse_decimal",
+    "parse_retry_after",
+]
 
 # No number has more digits: what others write must not take long to read.
 _MAX_DIGITS = 15
@@ -40,7 +45,7 @@
 _OWN_PREFIXES = ("x-engine-", "x-expect-", "x-weights-", "x-hillthread-")
 
 
-def forwarded(headers: Mapping[str, str]) -> dict[str, str]:
+def filter_request_headers(headers: Mapping[str, str]) -> dict[str, str]:
     """Returns a caller's headers that pass to a target.
 
     The caller's key never passes, nor does anything that the engine protocol
@@ -53,7 +58,7 @@
     }
 
 
-def answered(
+def filter_answer_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[bytes, bytes]]:
     """Returns a target's headers that pass to the caller."""
--- a/hillthread/protocol/messages.py
+++ b/hillthread/protocol/messages.py
@@ -22,7 +22,7 @@
 
 VERSION = 1
 MAX_MESSAGE_BYTES = 4_194_304
-EVERYTHING = -2
+FULL_SNAPSHOT = -2
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
@@ -185,8 +185,8 @@
         silent: Those known but not heard.
     """
 
-    heard: int
-    silent: int
+    reachable: int
+    unreachable: int
 
 
 class Demand(_Message, frozen=True, tag="demand"):
--- a/hillthread/protocol/openai.py
+++ b/hillthread/protocol/openai.py
@@ -15,10 +15,10 @@
 __all__ = [
     "CompletionRequest",
     "ErrorBody",
-    "continuation_body",
-    "error_body",
+    "encode_continuation_body",
+    "encode_error_body",
     "parse_completion",
-    "upstream_body",
+    "encode_upstream_body",
 ]
 
 CHAT_PATH = "/v1/chat/completions"
@@ -97,7 +97,7 @@
     )
 
 
-def upstream_body(
+def encode_upstream_body(
     request: CompletionRequest, salt: str, priority: int
 ) -> bytes:
     """Returns the body sent to an engine.
@@ -108,7 +108,7 @@
     return _encoder.encode(_upstream(request, salt, priority))
 
 
-def continuation_body(
+def encode_continuation_body(
     request: CompletionRequest,
     salt: str,
     priority: int,
@@ -134,7 +134,7 @@
     return _encoder.encode(body)
 
 
-def error_body(refusal: errors.RefusalError, request_id: str) -> bytes:
+def encode_error_body(refusal: errors.RefusalError, request_id: str) -> bytes:
     """Returns the JSON body of a refusal."""
     kind = "invalid_request_error" if refusal.status < 500 else "server_error"
     body: ErrorBody = {
@@ -150,7 +150,7 @@
     return _encoder.encode(body)
 
 
-def retry_after_header(refusal: errors.RefusalError) -> bytes | None:
+def format_retry_after(refusal: errors.RefusalError) -> bytes | None:
     """Returns the value of `Retry-After`, whole seconds, or None."""
     if refusal.retry_after_s is None:
         return None
--- a/hillthread/transport/http_server.py
+++ b/hillthread/transport/http_server.py
@@ -200,13 +200,13 @@
 ) -> None:
     """Sends a typed error in the callers' usual shape."""
     extra = [(b"x-request-id", request_id.encode()), *headers]
-    retry_after = openai.retry_after_header(refusal)
+    retry_after = openai.format_retry_after(refusal)
     if retry_after is not None:
         extra.append((b"retry-after", retry_after))
     await send_body(
         send,
         refusal.status,
-        openai.error_body(refusal, request_id),
+        openai.encode_error_body(refusal, request_id),
         headers=tuple(extra),
     )
 
--- a/tests/protocol/test_openai.py
+++ b/tests/protocol/test_openai.py
@@ -19,18 +19,20 @@
 class ParseTest(unittest.TestCase):
     def test_callers_salt_and_priority_never_pass(self):
         request = parse({**CHAT, "cache_salt": "x", "priority": -9})
-        body = json.loads(openai.upstream_body(request, "own", 3))
+        body = json.loads(openai.encode_upstream_body(request, "own", 3))
         self.assertEqual((body["cache_salt"], body["priority"]), ("own", 3))
 
     def test_usage_is_always_asked_for_in_streams(self):
         request = parse({**CHAT, "stream": True})
-        body = json.loads(openai.upstream_body(request, "", 0))
+        body = json.loads(openai.encode_upstream_body(request, "", 0))
         self.assertTrue(body["stream_options"]["include_usage"])
         self.assertFalse(request.wants_usage)
 
     def test_continuation_carries_text_and_what_is_left(self):
         request = parse({**CHAT, "stream": True, "max_tokens": 10})
-        body = json.loads(openai.continuation_body(request, "", 0, "ab", 4))
+        body = json.loads(
+            openai.encode_continuation_body(request, "", 0, "ab", 4)
+        )
         self.assertEqual(body["max_tokens"], 6)
         self.assertEqual(
             body["messages"][-1], {"role": "assistant", "content": "ab"}
--- a/tests/state/cluster/test_topic_copy.py
+++ b/tests/state/cluster/test_topic_copy.py
@@ -95,7 +95,9 @@
     def test_page_round_trips_and_malformed_ones_are_refused(self):
         page = feed.FeedPage(at(9, 2), True, 0.5, [record(4, "a", b"\x00")])
         packed = feed.pack_records(page.records)
-        raw = feed.encode_page(page.position, page.whole, page.age_s, packed)
+        raw = feed.encode_page(
+            page.position, page.is_snapshot, page.age_s, packed
+        )
         self.assertEqual(feed.decode_page(raw), page)
         query = feed.FeedQuery("t", at(3, 2), 0.25)
         self.assertEqual(feed.parse_query(feed.encode_query(query)), query)
