--- a/hillthread/bench/gateway_demo.py
+++ b/hillthread/bench/gateway_demo.py
@@ -114,9 +114,9 @@
         lines = log_story.parse_lines(
             host.name, host.process.log_path.read_text().splitlines()
         )
-        story = log_story.find_story(exchange.request_id, lines)
+        story = log_story.find_history(exchange.request_id, lines)
         if story is not None:
-            print(log_story.tell(story))
+            print(log_story.format_history(story))
 
     async def _show_withdrawn_key(
         self, stage: stage_lib.Stage, callers: callers_lib.Callers
--- a/hillthread/programs/ctl.py
+++ b/hillthread/programs/ctl.py
@@ -272,7 +272,7 @@
 def _explain_from_logs(
     request_id: str, files: list[str], as_json: bool
 ) -> None:
-    lines: list[log_story.StoryLine] = []
+    lines: list[log_story.LogLine] = []
     for file in files:
         try:
             text = pathlib.Path(file).read_text(errors="replace")
@@ -284,7 +284,7 @@
         lines += log_story.parse_lines(
             pathlib.Path(file).stem, text.splitlines()
         )
-    story = log_story.find_story(str(request_id), lines)
+    story = log_story.find_history(str(request_id), lines)
     if story is None:
         raise errors.NotFoundError(
             f"No line in {len(files)} files is about {request_id}.",
@@ -293,7 +293,7 @@
     if as_json:
         _print(documents.as_document(story))
     else:
-        print(log_story.tell(story))
+        print(log_story.format_history(story))
 
 
 def _read_changes(file: str) -> list[dict[str, Any]]:
--- a/hillthread/protocol/log_story.py
+++ b/hillthread/protocol/log_story.py
@@ -8,7 +8,13 @@
 
 import msgspec
 
-__all__ = ["Story", "StoryLine", "find_story", "parse_lines", "tell"]
+__all__ = [
+    "RequestHistory",
+    "LogLine",
+    "find_history",
+    "parse_lines",
+    "format_history",
+]
 
 # Lines of the host itself this close to the request may explain it.
 _CONTEXT_S = 5.0
@@ -35,7 +41,7 @@
 )
 
 
-class StoryLine(NamedTuple):
+class LogLine(NamedTuple):
     """One log line.
 
     Attributes:
@@ -51,7 +57,7 @@
     fields: dict[str, Any]
 
 
-class Story(NamedTuple):
+class RequestHistory(NamedTuple):
     """What the logs say of one request.
 
     Attributes:
@@ -64,14 +70,14 @@
     """
 
     request_id: str
-    lines: list[StoryLine]
-    context: list[StoryLine]
+    lines: list[LogLine]
+    context: list[LogLine]
     other_tries: list[str]
     cause: str
     missing: list[str]
 
 
-def parse_lines(name: str, lines: Iterable[str]) -> list[StoryLine]:
+def parse_lines(name: str, lines: Iterable[str]) -> list[LogLine]:
     """Returns the log lines of one host; what is none is passed over.
 
     Args:
@@ -94,11 +100,13 @@
         if fields["event"] == "start":
             host = fields.get("host", host)
         at = float(fields.get("at") or fields.get("created") or 0.0)
-        parsed.append(StoryLine(at, host, fields["event"], fields))
+        parsed.append(LogLine(at, host, fields["event"], fields))
     return parsed
 
 
-def find_story(request_id: str, lines: list[StoryLine]) -> Story | None:
+def find_history(
+    request_id: str, lines: list[LogLine]
+) -> RequestHistory | None:
     """Returns the story of a request, or None when no line is about it."""
     own = [each for each in lines if each.fields.get("request") == request_id]
     if not own:
@@ -116,7 +124,7 @@
     if outage is not None and outage not in context:
         context.append(outage)
     context.sort(key=lambda line: line.at)
-    return Story(
+    return RequestHistory(
         request_id,
         own,
         context,
@@ -126,7 +134,7 @@
     )
 
 
-def _outage(last: StoryLine, lines: list[StoryLine]) -> StoryLine | None:
+def _outage(last: LogLine, lines: list[LogLine]) -> LogLine | None:
     """Returns when the host of a line had lost the store, if it still had.
 
     It may have been long before. A process that started later found the store
@@ -146,7 +154,7 @@
     return outage
 
 
-def tell(story: Story) -> str:
+def format_history(story: RequestHistory) -> str:
     """Returns a story in words."""
     first = story.lines[0].at
     text = [f"Request {story.request_id}:"]
@@ -164,7 +172,7 @@
     return "\n".join(text)
 
 
-def _words(line: StoryLine) -> str:
+def _words(line: LogLine) -> str:
     fields = line.fields
     match line.event:
         case "admitted":
@@ -227,7 +235,7 @@
     return f"{', '.join(told)}, after {fields.get('seconds')} s"
 
 
-def _plain_words(line: StoryLine) -> str:
+def _plain_words(line: LogLine) -> str:
     skipped = {
         "at",
         "created",
@@ -246,7 +254,7 @@
     return f"{name} ({', '.join(told)})" if told else name
 
 
-def _cause(own: list[StoryLine], outage: StoryLine | None) -> str:
+def _cause(own: list[LogLine], outage: LogLine | None) -> str:
     """Returns why a request ended as it did, in a sentence."""
     last = {line.event: line for line in own}
     refused = last.get("refused")
@@ -268,7 +276,7 @@
     return "the log of the host ends before the request did."
 
 
-def _answer_cause(answered: StoryLine, own: list[StoryLine]) -> str:
+def _answer_cause(answered: LogLine, own: list[LogLine]) -> str:
     if int(answered.fields.get("status") or 0) < 500:
         return "none; it was answered whole."
     failed = _targets_with_status(own, "whole")
@@ -276,7 +284,7 @@
 
 
 def _refusal_cause(
-    refused: StoryLine, own: list[StoryLine], outage: StoryLine | None
+    refused: LogLine, own: list[LogLine], outage: LogLine | None
 ) -> str:
     fields = refused.fields
     match fields.get("code"):
@@ -305,11 +313,11 @@
     return str(fields.get("reason"))
 
 
-def _refusing_targets(own: list[StoryLine]) -> str:
+def _refusing_targets(own: list[LogLine]) -> str:
     return _targets_with_status(own, "notrun")
 
 
-def _targets_with_status(own: list[StoryLine], outcome: str) -> str:
+def _targets_with_status(own: list[LogLine], outcome: str) -> str:
     """Returns the targets whose attempts ended so, each with its status."""
     return ", ".join(
         f"{line.fields.get('target')} ({line.fields.get('status')})"
@@ -318,7 +326,7 @@
     )
 
 
-def _last_failure(own: list[StoryLine]) -> str:
+def _last_failure(own: list[LogLine]) -> str:
     failures = [
         line
         for line in own
@@ -332,7 +340,7 @@
     return f"target {fields.get('target')} failed ({why})"
 
 
-def _other_tries(own: list[StoryLine], lines: list[StoryLine]) -> list[str]:
+def _other_tries(own: list[LogLine], lines: list[LogLine]) -> list[str]:
     admitted = [line for line in own if line.event == "admitted"]
     if not admitted:
         return []
@@ -353,7 +361,7 @@
     return all(one.get(name) == other.get(name) for name in names)
 
 
-def _missing(own: list[StoryLine], context: list[StoryLine]) -> list[str]:
+def _missing(own: list[LogLine], context: list[LogLine]) -> list[str]:
     missing = []
     events = {line.event for line in own}
     ends = {"refused", "answered", "answer_broken", "requester_left"}
--- a/tests/protocol/test_log_story.py
+++ b/tests/protocol/test_log_story.py
@@ -29,7 +29,7 @@
 class CauseTest(unittest.TestCase):
     def cause(self, *lines):
         parsed = log_story.parse_lines("h1", lines)
-        return log_story.find_story(ID, parsed).cause
+        return log_story.find_history(ID, parsed).cause
 
     def test_outage_that_began_long_before_is_named(self):
         told = self.cause(
@@ -55,7 +55,7 @@
         lines = log_story.parse_lines(
             "h2", [line(10.0, "store_lost", reason="reset")]
         ) + log_story.parse_lines("h1", [refused(18.4, 8.4)])
-        told = log_story.find_story(ID, lines).cause
+        told = log_story.find_history(ID, lines).cause
         self.assertIn("no outage of the store before it", told)
 
     def test_time_that_was_over_while_an_answer_was_passed_on(self):
@@ -83,7 +83,7 @@
             for at, request, fields in admitted
         ]
         parsed = log_story.parse_lines("h1", lines)
-        return log_story.find_story(ID, parsed).other_tries
+        return log_story.find_history(ID, parsed).other_tries
 
     def test_tries_of_one_request_share_its_digest(self):
         same = {"digest": "d1", "path": "/a", "tenant": "t"}
@@ -116,6 +116,6 @@
             ),
         ]
         parsed = log_story.parse_lines("h1", lines)
-        told = log_story.tell(log_story.find_story(ID, parsed))
+        told = log_story.format_history(log_story.find_history(ID, parsed))
         self.assertIn("Cause: 3 targets ended while this request", told)
         self.assertIn("target ended (target=e1, open={'d1': 3})", told)
