--- a/hillthread/bench/report.py
+++ b/hillthread/bench/report.py
@@ -43,7 +43,7 @@
 
     site: str
     rounds: tuple[journal.JournalEntry, ...]
-    broken: tuple[tuple[journal.JournalEntry, journal.PlayedDay], ...]
+    broken: tuple[tuple[journal.JournalEntry, journal.DayResult], ...]
 
 
 def histories(entries: list[journal.JournalEntry]) -> list[SiteHistory]:
@@ -106,7 +106,7 @@
     return "\n".join(parts)
 
 
-def _standard(entry: journal.JournalEntry) -> list[journal.PlayedDay]:
+def _standard(entry: journal.JournalEntry) -> list[journal.DayResult]:
     return [d for d in entry.days if not d.name.startswith(_DRAWN_PREFIX)]
 
 
@@ -180,7 +180,7 @@
     return f"<p>Rules broken, in all runs:</p><ul>{items}</ul>"
 
 
-def _broken_words(day: journal.PlayedDay) -> str:
+def _broken_words(day: journal.DayResult) -> str:
     return ", ".join(f"{rule} {count}" for rule, count in day.broken.items())
 
 
--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -98,7 +98,7 @@
         self.site = site_lib.Site(settings, self.metrics)
         self.pool = http1_client.ConnectionPool(_CONNECT_TIMEOUT_S)
         self.store = store_lib.StoreClient(settings.store)
-        self.store.restored = self._store_restored
+        self.store.on_restored = self._store_restored
         ip, _ = settings_lib.split_address(settings.listen)
         self.source = feed_source.FeedSource(
             settings.host, settings.data_centre
--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -204,7 +204,7 @@
     ) -> rollout.LoadOutcome:
         """Returns the outcome of a load after the answer to its order."""
         match sent.answer:
-            case orders.OrderAnswer.TAKEN:
+            case orders.OrderAnswer.ACCEPTED:
                 return await self._await_load(
                     target, model, sent.orders_taken, sent.born_ms
                 )
--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -243,7 +243,7 @@
         data: bytes,
     ) -> None:
         answer = self.relay.answer
-        headers = attempts.relayed_headers(head)
+        headers = attempts.filter_relayed_headers(head)
         await answer.begin(head.status, headers, data)
         while part := await connection.read_part():
             await answer.send(part)
@@ -258,7 +258,7 @@
         """Returns what is wrong with the head of an answer; empty if valid."""
         if meaning.request_id != self.request.request_id.encode("latin-1"):
             return "crossed_answer"
-        if meaning.encoded:
+        if meaning.is_encoded:
             return "encoded_answer"
         if head.status < 300 and not meaning.has_receipt:
             return "no_receipt"
--- a/hillthread/coordination/gateway/serving/event_relay.py
+++ b/hillthread/coordination/gateway/serving/event_relay.py
@@ -84,7 +84,7 @@
     ) -> None:
         new_events = [event for event in events if self._is_new(event)]
         for event in new_events:
-            version = attempts.event_weights(event.raw)
+            version = attempts.parse_event_weights(event.raw)
             if version is not None:
                 self.weights_version = version
         await self._forward(head, b"".join(event.raw for event in new_events))
@@ -116,7 +116,7 @@
         if self.answer.started:
             await self.answer.send(data)
             return
-        headers = attempts.relayed_headers(head)
+        headers = attempts.filter_relayed_headers(head)
         await self.answer.begin(head.status, headers, data)
 
 
--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -143,7 +143,7 @@
         tenant,
         attempts.decode_prompt(caller.headers),
         caller.arrived + timeout_s,
-        attempts.whole_number(caller.get(names.LAST_EVENT_ID)),
+        attempts.parse_whole_number(caller.get(names.LAST_EVENT_ID)),
         log,
     )
 
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -363,7 +363,7 @@
                 "It may have run: find out before sending it again.",
                 errors.RunState.UNKNOWN,
             )
-        headers = attempts.relayed_headers(head)
+        headers = attempts.filter_relayed_headers(head)
         await self.answer.send_whole(head.status, headers, body)
 
     def _true_refusal(
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -245,7 +245,7 @@
     def _take_page(self, page: feed.FeedPage) -> None:
         self._is_truncated = False
         # A peer may know of a restoration before the store has answered.
-        self.context.client.note_era(page.position.era)
+        self.context.client.apply_era(page.position.era)
         if page.is_snapshot:
             if page.position < (self.copy.position or _START):
                 return  # it knows less than this host
@@ -437,7 +437,7 @@
 
     def _take_raw(self, raw: log_pages.LogRecord) -> None:
         try:
-            record = log_pages.parse_keyed(raw)
+            record = log_pages.parse_keyed_record(raw)
         except errors.LogError as error:
             offset = raw.position.offset
             self.copy.advance(raw.position._replace(offset=offset + 1))
--- a/hillthread/platform/attempts.py
+++ b/hillthread/platform/attempts.py
@@ -19,8 +19,8 @@
     "decode_prompt",
     "encode_attempt",
     "is_leaving",
-    "relayed_headers",
-    "whole_number",
+    "filter_relayed_headers",
+    "parse_whole_number",
 ]
 
 _HOP_BY_HOP = frozenset(
@@ -116,7 +116,7 @@
     has_receipt: bool
     incarnation: str
     weights_version: int | None
-    encoded: bool
+    is_encoded: bool
     is_leaving: bool
     backoff_s: float
     limit_per_s: float | None
@@ -130,7 +130,7 @@
     """
     first = dict(reversed(headers))
     prompt, _, answer = first.get(names.TOKEN_COUNTS, b"").partition(b",")
-    counts = whole_number(prompt), whole_number(answer)
+    counts = parse_whole_number(prompt), parse_whole_number(answer)
     return PromptHeaders(
         first.get(names.MODEL, b"").decode("latin-1"),
         _parts(first.get(names.PROMPT_PARTS, b"")),
@@ -180,7 +180,7 @@
         bool(head.get(names.NOT_RUN)) or head.status == 421,
         bool(head.get(names.RECEIPT)),
         head.get(names.INCARNATION).decode("latin-1"),
-        whole_number(head.get(names.WEIGHTS_VERSION)),
+        parse_whole_number(head.get(names.WEIGHTS_VERSION)),
         bool(head.get(b"content-encoding")),
         is_leaving(head),
         _backoff(head),
@@ -200,7 +200,7 @@
     return head.get(names.TARGET_LEAVING).strip() not in (b"", b"0")
 
 
-def relayed_headers(head: http1_client.AnswerHead) -> http1.Headers:
+def filter_relayed_headers(head: http1_client.AnswerHead) -> http1.Headers:
     """Returns a target's headers that pass to the caller, without framing."""
     return [
         pair
@@ -209,12 +209,12 @@
     ]
 
 
-def event_weights(raw: bytes) -> int | None:
+def parse_event_weights(raw: bytes) -> int | None:
     """Returns the weights version an event says it changed to, or None."""
     if not raw.startswith(names.WEIGHTS_EVENT_FIELD):
         return None
     line = raw.partition(b"\n")[0]
-    return whole_number(line[len(names.WEIGHTS_EVENT_FIELD) :])
+    return parse_whole_number(line[len(names.WEIGHTS_EVENT_FIELD) :])
 
 
 def _passes(name: bytes, headers: http1.Headers) -> bool:
@@ -240,13 +240,13 @@
     parts = []
     for term in text.split(b","):
         digest, _, count = term.strip().partition(b":")
-        tokens = whole_number(count)
+        tokens = parse_whole_number(count)
         if digest and tokens is not None:
             parts.append(PromptPart(digest.decode("latin-1"), tokens))
     return tuple(parts)
 
 
-def whole_number(text: bytes) -> int | None:
+def parse_whole_number(text: bytes) -> int | None:
     """Returns a number written in digits; None for anything else."""
     text = text.strip()
     if len(text) > _MOST_DIGITS or not text.isdigit():
--- a/hillthread/platform/configuration.py
+++ b/hillthread/platform/configuration.py
@@ -19,7 +19,7 @@
     "CONFIGURATION_KEY",
     "OPERATOR_TOPIC",
     "WEIGHTS_KEY_PREFIX",
-    "WeightsName",
+    "NamedWeights",
     "decode_configuration",
     "decode_weights",
     "is_older",
@@ -43,7 +43,7 @@
 _logger = logging.getLogger("hillthread.site")
 
 
-class WeightsName(NamedTuple):
+class NamedWeights(NamedTuple):
     """Newly named weights of a model."""
 
     model: str
@@ -172,14 +172,14 @@
     )
 
 
-def decode_weights(payload: bytes) -> WeightsName:
+def decode_weights(payload: bytes) -> NamedWeights:
     """Returns the weights named in a record.
 
     Raises:
         ConfigurationError: The record is unreadable.
     """
     wire = payloads.decode_payload(_weights_decoder, payload, "weights")
-    return WeightsName(wire.model, wire.version)
+    return NamedWeights(wire.model, wire.version)
 
 
 def is_older(
--- a/hillthread/platform/journal.py
+++ b/hillthread/platform/journal.py
@@ -12,7 +12,7 @@
 from hillthread import errors
 from hillthread.state.config import payloads
 
-__all__ = ["JournalEntry", "PlayedDay", "Price", "decode_entry", "read_entries"]
+__all__ = ["JournalEntry", "DayResult", "Price", "decode_entry", "read_entries"]
 
 
 class Price(NamedTuple):
@@ -29,7 +29,7 @@
     cost: float
 
 
-class PlayedDay(NamedTuple):
+class DayResult(NamedTuple):
     """One day of load and faults, as it was judged.
 
     Attributes:
@@ -72,7 +72,7 @@
     site: str
     reason: str
     lines: int
-    days: tuple[PlayedDay, ...]
+    days: tuple[DayResult, ...]
 
 
 class _Day(msgspec.Struct):
@@ -137,13 +137,13 @@
     return sorted(entries, key=lambda entry: (entry.began_at, entry.entry_id))
 
 
-def _day(wire: _Day) -> PlayedDay:
+def _day(wire: _Day) -> DayResult:
     broken = {
         rule: count
         for rule, count in (wire.rules or {}).items()
         if isinstance(count, int) and count
     }
-    return PlayedDay(
+    return DayResult(
         wire.name,
         wire.worth or 0.0,
         wire.served or 0.0,
--- a/hillthread/platform/log_pages.py
+++ b/hillthread/platform/log_pages.py
@@ -11,16 +11,16 @@
 from hillthread.state.cluster import topic_copy
 
 __all__ = [
-    "LENGTH",
+    "LENGTH_PREFIX",
     "KeyedPage",
     "LogPage",
     "LogRecord",
-    "parse_keyed",
+    "parse_keyed_record",
     "parse_page",
 ]
 
 # Before each record.
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 # Before the records of a page: the end, and the first offset kept.
 _POSITIONS = struct.Struct(">QQ")
 
@@ -88,8 +88,8 @@
 
 def _split(raw: bytes, position: int) -> Iterator[bytes]:
     while position < len(raw):
-        (length,) = LENGTH.unpack_from(raw, position)
-        position += LENGTH.size
+        (length,) = LENGTH_PREFIX.unpack_from(raw, position)
+        position += LENGTH_PREFIX.size
         payload = raw[position : position + length]
         if len(payload) < length:
             raise struct.error("a record ends early")
@@ -97,7 +97,7 @@
         position += length
 
 
-def parse_keyed(record: LogRecord) -> topic_copy.TopicRecord:
+def parse_keyed_record(record: LogRecord) -> topic_copy.TopicRecord:
     """Returns the keyed record in a record of a keyed topic.
 
     Raises:
--- a/hillthread/platform/orders.py
+++ b/hillthread/platform/orders.py
@@ -25,7 +25,7 @@
 class OrderAnswer(enum.StrEnum):
     """What became of an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     ALREADY_HOLDS = "already_holds"
     CONFLICT = "conflict"
     FENCED = "fenced"
@@ -68,7 +68,7 @@
 
 _ANSWERS = {
     200: OrderAnswer.ALREADY_HOLDS,
-    202: OrderAnswer.TAKEN,
+    202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.CONFLICT,
     412: OrderAnswer.FENCED,
     421: OrderAnswer.OTHER_INCARNATION,
--- a/hillthread/platform/store.py
+++ b/hillthread/platform/store.py
@@ -143,13 +143,13 @@
         self.pool = http1_client.ConnectionPool(_CONNECT_TIMEOUT_S, _PROBES)
         self.calls = 0
         self.era: int | None = None
-        self.restored: Callable[[int, int], None] = _ignore
+        self.on_restored: Callable[[int, int], None] = _ignore
 
     async def close(self) -> None:
         """Closes all connections."""
         await self.pool.close()
 
-    async def newest(self, topic: str) -> log_pages.KeyedPage:
+    async def read_newest(self, topic: str) -> log_pages.KeyedPage:
         """Returns the newest record of every key of a keyed topic.
 
         Pages are not a snapshot: records from the first page's end on are to
@@ -235,7 +235,7 @@
             "part": _PARTITION,
             "storeRevision": expected_end.offset,
         }
-        body = log_pages.LENGTH.pack(len(payload)) + payload
+        body = log_pages.LENGTH_PREFIX.pack(len(payload)) + payload
         answer = await self._call(b"POST", "log-append", query, body, 0.0)
         self._check_position(expected_end)
         match answer.head.status:
@@ -257,7 +257,7 @@
         query = {"topic": topic, "part": _PARTITION}
         name = key.encode()
         payload = bytes([len(name)]) + name + value
-        body = log_pages.LENGTH.pack(len(payload)) + payload
+        body = log_pages.LENGTH_PREFIX.pack(len(payload)) + payload
         answer = await self._call(b"POST", "log-append", query, body, 0.0)
         if answer.head.status != 200:
             raise _refused(answer.head.status)
@@ -314,14 +314,14 @@
         """The store's era; 0 while it is not known."""
         return self.era or 0
 
-    def note_era(self, era: int) -> None:
+    def apply_era(self, era: int) -> None:
         """Applies the era from an answer of the store or a page of a peer."""
         before = self.era
         if before is not None and era <= before:
             return
         self.era = era
         if before is not None:
-            self.restored(before, era)
+            self.on_restored(before, era)
 
     def _check_era(self, head: http1_client.AnswerHead) -> None:
         """Applies the era that an answer names.
@@ -329,12 +329,12 @@
         Raises:
             StaleAnswerError: It is older than the one known.
         """
-        era = attempts.whole_number(head.get(names.STORE_ERA))
+        era = attempts.parse_whole_number(head.get(names.STORE_ERA))
         if era is None:
             return
         if era < self.current_era:
             raise StaleAnswerError
-        self.note_era(era)
+        self.apply_era(era)
 
 
 def _ignore(before: int, era: int) -> None:
--- a/tests/bench/mutant_gateway.py
+++ b/tests/bench/mutant_gateway.py
@@ -127,7 +127,7 @@
 
 
 def ignores_the_era_of_the_store():
-    store.StoreClient.note_era = lambda self, era: None
+    store.StoreClient.apply_era = lambda self, era: None
     store.StoreClient._check_era = lambda self, head: None
 
 
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -292,9 +292,9 @@
     def test_late_answer_of_the_former_era_is_refused(self):
         async def story(scene):
             await known(scene)
-            scene.program.store.note_era(9)
+            scene.program.store.apply_era(9)
             with self.assertRaises(store_lib.StaleAnswerError):
-                await scene.program.store.newest("keyed.op")
+                await scene.program.store.read_newest("keyed.op")
 
         play(story)
 
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -199,7 +199,7 @@
     def test_keyed_record_is_read_or_refused(self, payload):
         record = log_pages.LogRecord(position.Position(0, 5), payload)
         try:
-            keyed = log_pages.parse_keyed(record)
+            keyed = log_pages.parse_keyed_record(record)
         except errors.LogError:
             return
         self.assertEqual(len(payload), 1 + payload[0] + len(keyed.value))
@@ -347,5 +347,5 @@
 
     def test_event_tells_changed_weights(self):
         raw = b"x-weight-versions: 4\nid: 1\ndata: x\n\n"
-        self.assertEqual(attempts.event_weights(raw), 4)
-        self.assertIsNone(attempts.event_weights(b"id: 1\ndata: x\n\n"))
+        self.assertEqual(attempts.parse_event_weights(raw), 4)
+        self.assertIsNone(attempts.parse_event_weights(b"id: 1\ndata: x\n\n"))
