--- a/hillthread/coordination/gateway/peers/__init__.py
+++ b/hillthread/coordination/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other."""
+"""Notices and topics that gateway hosts exchange with each other."""
--- a/hillthread/coordination/gateway/peers/feed_server.py
+++ b/hillthread/coordination/gateway/peers/feed_server.py
@@ -1,7 +1,7 @@
-"""Answers other hosts from this host's copies of topics, and operators.
+"""Serves topics to other hosts, and the state of this host to operators.
 
-Hosts of the data centre read topics here; operators see and clear requests that
-are held because targets ended under them, and see how quotas stand.
+Hosts of the data centre read topics from this host's copies. Operators list and
+clear quarantined requests, and list the status of quotas, limits and targets.
 """
 
 from __future__ import annotations
@@ -22,20 +22,21 @@
 
 __all__ = ["FeedServer"]
 
-_LONGEST_WAIT_S = 5.0
-_JSON = [(b"content-type", b"application/json")]
-_CBOR = [(b"content-type", b"application/cbor")]
+_MAX_HOLD_S = 5.0
+_JSON_HEADERS = [(b"content-type", b"application/json")]
+_CBOR_HEADERS = [(b"content-type", b"application/cbor")]
 
 
 class FeedServer:
-    """Answers on the port that hosts and operators reach.
+    """Answers requests of hosts and operators on the feed port.
 
     Attributes:
-        site: The host's beliefs: a host that stops answers no more.
-        followers: By the name of their topic.
-        quarantine: Knows requests under which targets ended.
-        quotas: Knows what organisations have used.
-        limits: Knows the limits of targets.
+        site: State of this host; topics are not served while it is stopping or
+            has lost the store.
+        followers: Topic followers, by topic name.
+        quarantine: Requests under which targets crashed.
+        quotas: Quotas of organisations and their usage.
+        limits: Limits that targets announced.
     """
 
     def __init__(
@@ -57,9 +58,9 @@
         caller: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
     ) -> None:
-        """Answers one question."""
+        """Answers one request; its path selects what is asked for."""
         if caller.path == feed.QUARANTINE_PATH:
-            await self._answer_operator(answer, self._quarantine(caller))
+            await self._answer_operator(answer, self._handle_quarantine(caller))
         elif caller.path == feed.QUOTAS_PATH:
             await self._answer_operator(answer, self.quotas.statuses())
         elif caller.path == feed.LIMITS_PATH:
@@ -70,8 +71,8 @@
         else:
             await self._answer_host(caller, answer)
 
-    def _quarantine(self, caller: http1_server.CallerRequest) -> object:
-        """Lists requests that are held, or clears one."""
+    def _handle_quarantine(self, caller: http1_server.CallerRequest) -> object:
+        """Lists quarantined requests, or clears the one in the body."""
         if caller.method == b"GET":
             return self.quarantine.suspects()
         digest = caller.body.decode("latin-1")
@@ -81,14 +82,14 @@
         self, answer: http1_server.CallerAnswer, value: object
     ) -> None:
         body = msgspec.json.encode(documents.as_document(value))
-        await answer.send_whole(200, _JSON, body)
+        await answer.send_whole(200, _JSON_HEADERS, body)
 
     async def _answer_host(
         self,
         caller: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
     ) -> None:
-        """Holds a query until there is news, or its time is over."""
+        """Holds a query until there are new records or its hold time ends."""
         try:
             query = feed.parse_query(caller.target)
         except errors.PeerError:
@@ -98,21 +99,25 @@
         if follower is None or follower.copy.position is None:
             await answer.send_whole(503, [], b"")
             return
-        with anyio.move_on_after(min(query.wait_s, _LONGEST_WAIT_S)):
-            while self._learns(follower) and not _has_news(follower, query):
+        with anyio.move_on_after(min(query.wait_s, _MAX_HOLD_S)):
+            while self._can_serve_topic(follower) and not _has_new_records(
+                follower, query
+            ):
                 await follower.changed.wait()
-        if not self._learns(follower) or follower.needs_full_read:
+        if not self._can_serve_topic(follower) or follower.needs_full_read:
             await answer.send_whole(503, [], b"")
             return
-        await answer.send_whole(200, _CBOR, follower.build_page(query.start))
+        await answer.send_whole(
+            200, _CBOR_HEADERS, follower.build_page(query.start)
+        )
 
-    def _learns(self, follower: store_follower.TopicFollower) -> bool:
-        """Returns whether this host learns of changes, and will go on.
+    def _can_serve_topic(self, follower: store_follower.TopicFollower) -> bool:
+        """Returns whether this host receives changes and is not stopping.
 
-        Others must not wait for one that does not. One lost read is enough: it
-        is found 1.7 s after a change at most where a configuration must be in
-        force within 2 s (worked out: held 1.1 s, lost after 0.6 s), the next
-        one a second later.
+        Other hosts must not wait for a host that receives none. A single lost
+        read counts: where a configuration must apply within 2 s, that read is
+        found lost at most 1.7 s after the change (held for 1.1 s, lost after a
+        further 0.6 s). A second lost read would be found a second later.
         """
         return not (
             self.site.is_draining
@@ -121,13 +126,13 @@
         )
 
 
-def _has_news(
+def _has_new_records(
     follower: store_follower.TopicFollower, query: feed.FeedQuery
 ) -> bool:
-    """Returns whether a query can be answered with something new.
+    """Returns whether the copy has records that a query lacks.
 
-    A topic that was restored is about to be read anew: hosts that wait for it
-    do not turn to the store.
+    A topic that needs a full read has none until that read is done. Its readers
+    keep waiting here, so that they don't all read the store at once.
     """
     position = follower.copy.position
     if position is None or follower.needs_full_read:
--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -1,20 +1,21 @@
-"""Tells other hosts of work sent to engines and of quotas used, and listens.
+"""Exchanges notices with other hosts about engine load, targets and quotas.
 
-Each host places an eighth of the load, or a two hundredth: without the others'
-part it cannot know how long an engine's queue is
-(`tests/state/routing/test_load_at_size.py`).
+Each host sends only a share of the load to an engine, an eighth or a two
+hundredth for example. Without the notices of other hosts it cannot know how
+long the engine's queue is (`tests/state/routing/test_load_at_size.py`).
 
-A few hosts tell each other directly. With many, each hands what it sends to
-the gatherer of its data centre, which hands on what all have sent every 30 ms:
-a host then hears 33 packets a second however many hosts there are, each of them
-0.15 ms of a processor and more, and not one for each prompt.
+While few prompts are sent, hosts notify each other directly. When there are
+many, each host sends its notices to the gatherer of its data centre, which
+forwards those of all hosts every 30 ms. A host then receives 33 packets a
+second however many hosts there are, and not one packet for each prompt. Each
+packet takes 0.15 ms of processor time or more.
 
-The use of quotas always goes by way of the gatherers, with the work where there
-is some: `state/quotas/usage_exchange.py`.
+Usage of quotas always goes through the gatherers, in the same packets as work
+notices where there are any: `state/quotas/usage_exchange.py`.
 
-Packets are datagrams on the port of the feed between hosts: each is of use for
-a moment, so one that is lost is not sent again, and a host that is silent holds
-up nobody.
+Packets are datagrams on the feed port. The content of a packet is useful only
+for a moment, so lost packets are not sent again, and a host that does not
+respond delays no other.
 """
 
 from __future__ import annotations
@@ -41,45 +42,48 @@
 
 __all__ = ["WorkFeed", "resend"]
 
-# Packets taken in before others get their turn.
-_HEARD_AT_ONCE = 16
-# Pauses before a notice is sent again: packets get lost, and those for another
-# data centre go to one host there, drawn anew each time, which may be down.
-_RESEND_S = (0.1, 0.3)
-# From the failure of a socket until another one is opened.
-_REOPEN_S = 1.0
-# All hosts together tell each host directly so many prompts in a second; beyond
-# that what they send is gathered. Each packet costs the 0.15 ms above.
-_DIRECT_PER_S = 60.0
-# After a prompt that was too many it stays so for this time.
-_GATHERED_S = 5.0
-# What is gathered is handed on so often: queues change within 50 ms.
-_HAND_ON_S = 0.03
-# Notices that a gatherer hands on in a second: 49 bytes each, of the 15 KB a
-# second for control.
-_GATHERED_PER_S = 250.0
-# Prompts with less to read than this, 25 ms, hardly change a queue.
-_LEAST_TOKENS = 1_000
+# Packets received in one turn of the event loop, before other tasks run.
+_MAX_PACKETS_PER_TURN = 16
+# Delays before each repetition of a notice. Packets get lost, and those for
+# another data centre go to one random host there, which may be down.
+_RESEND_DELAYS_S = (0.1, 0.3)
+# Delay between the failure of a socket and the opening of the next one.
+_REOPEN_DELAY_S = 1.0
+# Prompts a second about which all hosts together notify each host directly;
+# beyond that rate notices are gathered. A packet takes 0.15 ms of processor
+# time.
+_MAX_DIRECT_PER_S = 60.0
+# Time for which notices are gathered after the direct rate was exceeded.
+_GATHER_MODE_S = 5.0
+# Interval at which gathered notices are forwarded: queues change within 50 ms.
+_FORWARD_INTERVAL_S = 0.03
+# Notices that a gatherer forwards in a second. A notice takes 49 bytes, and
+# control traffic may use 15 KB a second.
+_MAX_GATHERED_PER_S = 250.0
+# Prompts with fewer tokens to compute, which take an engine less than 25 ms,
+# hardly change its queue and are not reported.
+_MIN_TOKENS = 1_000
 
 _logger = logging.getLogger("hillthread.work")
 
 
 class WorkFeed:
-    """The datagrams of one host.
+    """Sends and receives the notice packets of one host.
 
     Attributes:
-        site: The host's beliefs, which take in what others tell.
-        source: Knows the other hosts.
-        gatherer: Chooses who gathers.
-        told: Packets sent so far, one for each receiver.
-        heard: Packets taken in so far.
+        site: State of this host, to which received notices are applied.
+        source: Lists the other hosts.
+        gatherer: Selects the gatherer of this host's data centre.
+        sent_packets: Number of packets sent, counted once per receiver.
+        received_packets: Number of valid packets received.
         apply_limit: Applies the limit of a target.
         apply_departure: Applies the departure of a target.
-        heard_of_suspects: Takes in what others have seen of requests under
-            which targets end.
-        usage: What is told and heard of the use of quotas; None before there
-            is anybody who keeps them.
-        heard_of_usage: Takes in what others have sent, by organisation.
+        apply_suspect: Applies what another host observed of a request under
+            which targets crash.
+        usage: Totals of usage that hosts exchange; None until the keeper of
+            quotas sets it.
+        apply_usage: Applies usage by other hosts; called with amounts by the
+            key of the organisation.
     """
 
     def __init__(
@@ -103,129 +107,131 @@
         self.apply_usage: Callable[[dict[int, float]], None] = _ignore
         self._origin = work_notice.checksum(source.name)
         now = clock.now()
-        self._direct = limits.TokenBucket(
-            _DIRECT_PER_S / site.cluster_size, now
+        self._direct_bucket = limits.TokenBucket(
+            _MAX_DIRECT_PER_S / site.cluster_size, now
         )
-        self._room = limits.TokenBucket(_GATHERED_PER_S, now)
-        self._gathered_until = float("-inf")
-        self._own_part: list[work_notice.WorkNotice] = []
-        self._others_part: list[work_notice.WorkNotice] = []
-        self._weights: list[work_notice.WeightsNotice] = []
-        self._limits: list[work_notice.LimitNotice] = []
-        self._departures: list[work_notice.DepartureNotice] = []
-        self._gathered = anyio.Event()
+        self._gather_bucket = limits.TokenBucket(_MAX_GATHERED_PER_S, now)
+        self._gather_mode_until = float("-inf")
+        self._local_work: list[work_notice.WorkNotice] = []
+        self._remote_work: list[work_notice.WorkNotice] = []
+        self._queued_weights: list[work_notice.WeightsNotice] = []
+        self._queued_limits: list[work_notice.LimitNotice] = []
+        self._queued_departures: list[work_notice.DepartureNotice] = []
+        self._forward_due = anyio.Event()
         self._socket: socket.socket | None = None
 
     def has_no_peers(self) -> bool:
-        """Returns whether there is nobody to tell anything."""
+        """Returns whether no other host is listed."""
         return len(self.source.hosts) < 2
 
     def notify_work(self, notice: work_notice.WorkNotice) -> None:
-        """Has other hosts told of much work."""
-        if notice.tokens < _LEAST_TOKENS or self.has_no_peers():
+        """Notifies other hosts of a prompt; short prompts are skipped."""
+        if notice.tokens < _MIN_TOKENS or self.has_no_peers():
             return
         now = clock.now()
         notice = notice._replace(origin=self._origin)
-        if now < self._gathered_until or not self._may_tell(now):
-            self._hand_over(notice, now)
+        if now < self._gather_mode_until or not self._may_notify_directly(now):
+            self._submit_work(notice, now)
         else:
-            self._tell_directly([notice])
+            self._notify_directly([notice])
 
     def notify_weights(self, notice: work_notice.WeightsNotice) -> None:
-        """Notes and tells what becomes of an engine's weights.
+        """Applies a notice about an engine's weights and notifies other hosts.
 
-        Many engines load at once: what is told of them goes in one packet.
+        Many engines load weights at the same time, so notices are queued and
+        sent together.
         """
         self.site.apply_weights_notice(notice, clock.now())
         if not self.has_no_peers():
-            self._weights.append(notice)
-            self._gathered.set()
+            self._queued_weights.append(notice)
+            self._forward_due.set()
 
     def notify_limits(self, notices: list[work_notice.LimitNotice]) -> None:
         """Notifies other hosts of limits that targets announced."""
         if not self.has_no_peers():
-            self._limits += notices
-            self._gathered.set()
+            self._queued_limits += notices
+            self._forward_due.set()
 
     def notify_departures(
         self, notices: list[work_notice.DepartureNotice]
     ) -> None:
         """Notifies other hosts of targets that announced their departure."""
         if not self.has_no_peers():
-            self._departures += notices
-            self._gathered.set()
+            self._queued_departures += notices
+            self._forward_due.set()
 
     def notify_suspects(self, notices: list[work_notice.SuspectNotice]) -> None:
-        """Tells of requests under which targets end, once and at once."""
-        for some in work_notice.split_notices(
+        """Notifies all hosts of crashes under requests, without delay."""
+        for page in work_notice.split_notices(
             notices, work_notice.MAX_SUSPECT_NOTICES
         ):
-            self._tell_directly(suspects=some)
+            self._notify_directly(suspects=page)
 
     def report_usage(self) -> None:
-        """Hands over what is due of this host's use of quotas."""
+        """Reports usage of quotas to the gatherer when a report is due."""
         now = clock.now()
         entry = self.gatherer.pick(now)
         if entry is None or self.usage is None:
             return
         if entry.name == self.source.name:
             self.usage.report_to(self.usage.origin, now, self.site.cluster_size)
-            self._gathered.set()
+            self._forward_due.set()
             return
         if self.usage.is_report_due(now, self.site.cluster_size):
             self._send_to_gatherer([], entry, now)
 
     async def run(self, address: str) -> None:
-        """Sends and receives until cancelled; what fails is opened anew.
+        """Sends and receives until cancelled; reopens a socket that fails.
 
         Args:
             address: `IP:port` where other hosts reach this one.
         """
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._hand_on_always)
+            tasks.start_soon(self._run_forwarding)
             while True:
                 try:
                     await self._serve(settings_lib.split_address(address))
                 except OSError as error:
                     _logger.warning(
-                        "work feed broken",
+                        "work feed socket failed",
                         extra={
                             "event": "work_feed_broken",
                             "reason": str(error),
                         },
                     )
-                await anyio.sleep(_REOPEN_S)
+                await anyio.sleep(_REOPEN_DELAY_S)
 
     async def _serve(self, address: tuple[str, int]) -> None:
-        """Tells, and hears, until the socket fails.
+        """Sends and receives until the socket fails.
 
-        The socket is a plain one: nothing is looked up, which would start a
-        thread, and sending never waits. The loop watches it all the time: to
-        wait for each packet anew takes 0.49 ms of a processor instead of 0.15.
+        A plain non-blocking socket is used: no name is looked up, which would
+        start a thread, and sending never waits. The event loop watches the
+        socket permanently, which takes 0.15 ms of processor time a packet;
+        waiting for each packet anew takes 0.49 ms.
 
         Raises:
             OSError: The socket has failed.
         """
         loop = asyncio.get_running_loop()
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as opened:
-            opened.setblocking(False)
-            opened.bind(address)
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+            sock.setblocking(False)
+            sock.bind(address)
             failed: asyncio.Future[None] = loop.create_future()
-            loop.add_reader(opened, self._hear, opened, failed)
-            self._socket = opened
+            loop.add_reader(sock, self._receive_packets, sock, failed)
+            self._socket = sock
             try:
                 await failed
             finally:
                 self._socket = None
-                loop.remove_reader(opened)
+                loop.remove_reader(sock)
 
-    def _hear(
-        self, opened: socket.socket, failed: asyncio.Future[None]
+    def _receive_packets(
+        self, sock: socket.socket, failed: asyncio.Future[None]
     ) -> None:
-        """Takes in what has come, and leaves the rest for the next turn."""
-        for _ in range(_HEARD_AT_ONCE):
+        """Handles a bounded number of packets that have arrived."""
+        for _ in range(_MAX_PACKETS_PER_TURN):
             try:
-                raw, sender = opened.recvfrom(work_notice.MAX_PACKET_BYTES)
+                raw, sender = sock.recvfrom(work_notice.MAX_PACKET_BYTES)
             except BlockingIOError:
                 return
             except OSError as error:
@@ -233,18 +239,22 @@
                     failed.set_exception(error)
                 return
             self.gatherer.note_heard(f"{sender[0]}:{sender[1]}")
-            self._take(raw)
+            self._handle_packet(raw)
 
-    def _may_tell(self, now: float) -> bool:
-        """Returns whether the other hosts may be told directly once more."""
-        self._direct.rate = _DIRECT_PER_S / self.site.cluster_size
-        if self._direct.wait_s(now) > 0.0:
-            self._gathered_until = now + _GATHERED_S
+    def _may_notify_directly(self, now: float) -> bool:
+        """Takes one direct notification from this host's share of the rate.
+
+        Returns false if the share is used up; notices are then gathered for a
+        while.
+        """
+        self._direct_bucket.rate = _MAX_DIRECT_PER_S / self.site.cluster_size
+        if self._direct_bucket.wait_s(now) > 0.0:
+            self._gather_mode_until = now + _GATHER_MODE_S
             return False
-        self._direct.spend(1.0)
+        self._direct_bucket.spend(1.0)
         return True
 
-    def _tell_directly(
+    def _notify_directly(
         self,
         work: Sequence[work_notice.WorkNotice] = (),
         weights: Sequence[work_notice.WeightsNotice] = (),
@@ -252,7 +262,10 @@
         limits: Sequence[work_notice.LimitNotice] = (),
         departures: Sequence[work_notice.DepartureNotice] = (),
     ) -> None:
-        """Tells all hosts, those elsewhere through one of their data centre."""
+        """Notifies all hosts.
+
+        In each other data centre one host receives the packet and relays it.
+        """
         receivers = notice_route.choose_receivers(
             self.source.name,
             self.source.data_centre,
@@ -277,13 +290,13 @@
             )
             self._send(packet, hosts)
 
-    def _hand_over(self, notice: work_notice.WorkNotice, now: float) -> None:
-        """Gives a notice to the host that gathers."""
+    def _submit_work(self, notice: work_notice.WorkNotice, now: float) -> None:
+        """Sends a notice to the gatherer; queues it if this host gathers."""
         entry = self.gatherer.pick(now)
         if entry is None:
             return
         if entry.name == self.source.name:
-            self._gather([notice], self._own_part, now)
+            self._queue_work([notice], self._local_work, now)
             return
         self._send_to_gatherer([notice], entry, now)
 
@@ -293,59 +306,59 @@
         entry: feed_source.HostEntry,
         now: float,
     ) -> None:
-        """Sends work to the host that gathers, and what is due of use."""
+        """Sends work notices to the gatherer, with usage that is due."""
         self.gatherer.note_sent(entry.name, now)
         usage = []
         if self.usage is not None:
             key = usage_exchange.name_key(entry.name)
-            handed = self.usage.report_to(key, now, self.site.cluster_size)
-            usage = [handed] if handed else []
+            report = self.usage.report_to(key, now, self.site.cluster_size)
+            usage = [report] if report else []
         packet = work_notice.Packet(
             work_notice.PacketAction.GATHER, work, [], usage=usage
         )
         self._send(packet, [entry])
 
-    def _gather(
+    def _queue_work(
         self,
         notices: list[work_notice.WorkNotice],
-        part: list[work_notice.WorkNotice],
+        queue: list[work_notice.WorkNotice],
         now: float,
     ) -> None:
-        """Keeps notices until they are handed on, as far as there is room."""
-        if self._room.wait_s(now, len(notices)) > 0.0:
+        """Queues notices to be forwarded; drops them above the maximum rate."""
+        if self._gather_bucket.wait_s(now, len(notices)) > 0.0:
             return
-        self._room.spend(len(notices))
-        part.extend(notices)
-        self._gathered.set()
+        self._gather_bucket.spend(len(notices))
+        queue.extend(notices)
+        self._forward_due.set()
 
-    async def _hand_on_always(self) -> None:
-        """Hands on what was gathered, until cancelled."""
+    async def _run_forwarding(self) -> None:
+        """Forwards queued notices at a fixed interval, until cancelled."""
         while True:
-            await self._gathered.wait()
-            await anyio.sleep(_HAND_ON_S)
-            self._gathered = anyio.Event()
-            self._hand_on()
-
-    def _hand_on(self) -> None:
-        """Hands on what hosts have sent, and what is known of targets."""
-        weights, self._weights = self._weights, []
-        for some in work_notice.split_notices(
+            await self._forward_due.wait()
+            await anyio.sleep(_FORWARD_INTERVAL_S)
+            self._forward_due = anyio.Event()
+            self._forward_queued()
+
+    def _forward_queued(self) -> None:
+        """Forwards all queued notices to the hosts that need them."""
+        weights, self._queued_weights = self._queued_weights, []
+        for page in work_notice.split_notices(
             weights, work_notice.MAX_WORK_NOTICES
         ):
-            self._tell_directly(weights=some)
-        named, self._limits = self._limits, []
-        for some in work_notice.split_notices(
-            named, work_notice.MAX_LIMIT_NOTICES
+            self._notify_directly(weights=page)
+        limit_notices, self._queued_limits = self._queued_limits, []
+        for page in work_notice.split_notices(
+            limit_notices, work_notice.MAX_LIMIT_NOTICES
         ):
-            self._tell_directly(limits=some)
-        left, self._departures = self._departures, []
-        for some in work_notice.split_notices(
-            left, work_notice.MAX_DEPARTURE_NOTICES
+            self._notify_directly(limits=page)
+        departure_notices, self._queued_departures = self._queued_departures, []
+        for page in work_notice.split_notices(
+            departure_notices, work_notice.MAX_DEPARTURE_NOTICES
         ):
-            self._tell_directly(departures=some)
-        own, self._own_part = self._own_part, []
-        others, self._others_part = self._others_part, []
-        own_usage, others_usage = self._usage_to_hand_on()
+            self._notify_directly(departures=page)
+        own, self._local_work = self._local_work, []
+        others, self._remote_work = self._remote_work, []
+        own_usage, others_usage = self._pop_usage_notices()
         actions = work_notice.PacketAction
         for packet in work_notice.make_packets(
             actions.DISTRIBUTE, own, own_usage
@@ -357,24 +370,24 @@
         ):
             self._send(packet, self.gatherer.list_neighbours())
 
-    def _usage_to_hand_on(
+    def _pop_usage_notices(
         self,
     ) -> tuple[
         list[usage_exchange.UsageNotice], list[usage_exchange.UsageNotice]
     ]:
-        """Returns the use of quotas by this data centre, and by others."""
+        """Returns usage notices to forward: this data centre's, and others'."""
         if self.usage is None:
             return [], []
         sharers = self.source.count_data_centres()
-        told = self.usage.report_group(clock.now(), sharers)
-        return [told] if told else [], self.usage.pop_remote_notices()
+        total = self.usage.report_group(clock.now(), sharers)
+        return [total] if total else [], self.usage.pop_remote_notices()
 
     def _send(
         self,
         packet: work_notice.Packet,
         hosts: list[feed_source.HostEntry],
     ) -> None:
-        """Sends a packet; one that cannot be sent now is of no use later."""
+        """Sends a packet to hosts; one that cannot be sent now is dropped."""
         if self._socket is None or not hosts:
             return
         raw = work_notice.encode_packet(packet)
@@ -386,12 +399,12 @@
             else:
                 self.sent_packets += 1
 
-    def _take(self, raw: bytes) -> None:
+    def _handle_packet(self, raw: bytes) -> None:
         try:
             packet = work_notice.decode_packet(raw)
         except errors.PeerError as error:
             _logger.warning(
-                "notice passed over",
+                "unreadable notice ignored",
                 extra={"event": "bad_notice", "reason": error.message},
             )
             return
@@ -399,22 +412,22 @@
         now = clock.now()
         match packet.action:
             case work_notice.PacketAction.GATHER:
-                self._gather(packet.work, self._own_part, now)
+                self._queue_work(packet.work, self._local_work, now)
                 self._gather_usage(packet, now)
             case work_notice.PacketAction.DISTRIBUTE:
                 if not self.gatherer.is_gatherer(now):
-                    return  # it comes from the gatherer, too
-                self._gather(packet.work, self._others_part, now)
-                self._keep_usage(packet)
+                    return  # the gatherer forwards the same notices
+                self._queue_work(packet.work, self._remote_work, now)
+                self._queue_remote_usage(packet)
             case work_notice.PacketAction.FORWARD:
                 self._send(
                     packet._replace(action=work_notice.PacketAction.APPLY),
                     self.gatherer.list_neighbours(),
                 )
-        self._take_in(packet, now)
+        self._apply_packet(packet, now)
 
-    def _take_in(self, packet: work_notice.Packet, now: float) -> None:
-        """Has the site take in what a packet tells."""
+    def _apply_packet(self, packet: work_notice.Packet, now: float) -> None:
+        """Applies the notices of a packet to the state of this host."""
         for notice in packet.work:
             if notice.origin != self._origin:
                 self.site.apply_work_notice(notice, now)
@@ -435,33 +448,33 @@
             self.apply_usage(self.usage.apply_notice(group, now))
 
     def _gather_usage(self, packet: work_notice.Packet, now: float) -> None:
-        """Takes in what a host of this data centre has sent."""
+        """Adds usage reported by hosts of this data centre to its total."""
         if self.usage is None or not packet.usage:
             return
         for notice in packet.usage:
             self.apply_usage(self.usage.gather(notice, now))
-        self._gathered.set()
+        self._forward_due.set()
 
-    def _keep_usage(self, packet: work_notice.Packet) -> None:
-        """Keeps what another data centre has sent until it is handed on."""
+    def _queue_remote_usage(self, packet: work_notice.Packet) -> None:
+        """Queues usage of another data centre to be forwarded in this one."""
         if self.usage is None or not packet.usage:
             return
         for notice in packet.usage:
             self.usage.queue_for_members(notice)
-        self._gathered.set()
+        self._forward_due.set()
 
 
 async def resend(send: Callable[[], None]) -> None:
-    """Sends a notice again that must not be lost.
+    """Repeats a notice that must not be lost.
 
     Args:
-        send: Sends it once.
+        send: Sends the notice once.
     """
-    for pause_s in _RESEND_S:
+    for pause_s in _RESEND_DELAYS_S:
         await anyio.sleep(pause_s)
         send()
 
 
-def _ignore(told: object) -> None:
-    """Stands for nobody who wants to know."""
-    del told
+def _ignore(ignored: object) -> None:
+    """Ignores what is received; the default of the callbacks."""
+    del ignored
--- a/tests/coordination/gateway/peers/__init__.py
+++ b/tests/coordination/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway."""
+"""Tests of the exchange of topics and notices between hosts."""
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -19,7 +19,7 @@
 
 
 async def second_host(scene, **settings):
-    """Returns a gateway of the same site that reads from the first."""
+    """Starts another gateway host of the same site and waits until ready."""
     values = {
         "host": "h2",
         "data_centre": "here",
@@ -41,7 +41,7 @@
 
 
 def read_from(program, other):
-    """Has a host read from another, whatever their ranks."""
+    """Makes a host read from another one regardless of their ranks."""
     entry = program.source.hosts[other]
     program.source.pick = lambda now: (
         None if now < program.source._avoided_until.get(other, 0.0) else entry
@@ -50,8 +50,8 @@
         follower.interrupt()
 
 
-def pick_the_other_one(source, now):
-    """Picks the first host from all others, whatever the ranks."""
+def pick_first_host(source, now):
+    """Replaces `FeedSource.pick`: every other host reads from `h1`."""
     other = source.hosts.get("h1")
     if source.name == "h1" or other is None:
         return None
@@ -59,13 +59,13 @@
 
 
 class FeedTest(unittest.TestCase):
-    def test_hosts_that_ask_together_cost_one_packing(self):
+    def test_page_is_packed_once_for_simultaneous_readers(self):
         async def story(scene):
             follower = scene.program.followers["keyed.servers"]
             with mock.patch.object(
                 feed, "pack_records", side_effect=feed.pack_records
             ) as pack:
-                pages = {
+                first_keys = {
                     feed.decode_page(
                         follower.build_page(position_lib.Position(0, 0))
                     )
@@ -81,12 +81,12 @@
                     follower.build_page(position_lib.Position(0, 0))
                 )
             self.assertEqual(pack.call_count, 2)
-            self.assertEqual(len(pages), 1)
+            self.assertEqual(len(first_keys), 1)
             self.assertIn(b"draining", b"".join(r.value for r in page.records))
 
         scene_lib.run_scenario(story)
 
-    def test_part_of_what_is_new_proves_nothing(self):
+    def test_partial_read_does_not_refresh_the_age(self):
         async def story(scene):
             scene.store.faults.status = 503
             await scene.until(
@@ -98,25 +98,27 @@
             scene.configure(routes=[])
             scene.store.faults.status = 0
             follower = scene.program.followers["keyed.op"]
-            begin = follower.copy.position
-            end = begin._replace(offset=begin.offset + 2)
-            ages = []
+            start_position = follower.copy.position
+            end_position = start_position._replace(
+                offset=start_position.offset + 2
+            )
+            known_times = []
 
             def is_read():
-                """Notes how fresh the copy counts until it is complete."""
-                if follower.copy.position < end:
-                    ages.append(scene.site.freshness.known_until)
-                return follower.copy.position == end
+                """Records the proven freshness until the copy is complete."""
+                if follower.copy.position < end_position:
+                    known_times.append(scene.site.freshness.known_until)
+                return follower.copy.position == end_position
 
             await scene.until(is_read)
-            self.assertEqual(set(ages), {proven_at})
+            self.assertEqual(set(known_times), {proven_at})
             await scene.until(
                 lambda: scene.site.freshness.known_until > proven_at
             )
 
         scene_lib.run_scenario(story)
 
-    def test_changes_come_through_another_host(self):
+    def test_changes_are_read_through_another_host(self):
         async def story(scene):
             reader = await second_host(scene)
             await scene.until(lambda: "h1" in reader.source.hosts)
@@ -129,17 +131,18 @@
             await scene.until(lambda: "p0" not in reader.site.targets.entries)
             age = reader.site.freshness.age(anyio.current_time())
             self.assertLess(age, reader.site.greatest_age_s)
-            # The first host alone reads on: a few held calls.
+            # Only the first host still reads the store, in a few held calls.
             self.assertLess(scene.store.calls["log-read"] - calls, 12)
 
         scene_lib.run_scenario(story)
 
-    def test_change_is_in_force_in_time_though_the_source_is_cut_off(self):
-        """Seen on a site of 8 hosts with a bound of 2 s on configurations.
+    def test_change_applies_in_time_when_the_source_is_cut_off(self):
+        """A host that loses the store must release held reads early enough.
 
-        One host was cut off from the store 0.1 s before a key was withdrawn,
-        and two read from it: it held their questions until its second read in
-        a row was lost, and they took the change in 2.2 s after it came.
+        On a site of 8 hosts with a bound of 2 s on configurations, a host lost
+        the store 0.1 s before a key was withdrawn. It held the reads of two
+        other hosts until its second read in a row was lost, and these hosts
+        applied the change only 2.2 s after it was written.
         """
 
         async def story(scene):
@@ -159,7 +162,7 @@
 
         scene_lib.run_scenario(story, linked=True)
 
-    def test_one_refused_read_holds_up_no_other(self):
+    def test_refused_read_does_not_delay_other_topics(self):
         async def story(scene):
             faults = scene.store.faults
             site = scene.site
@@ -178,32 +181,32 @@
         ):
             scene_lib.run_scenario(story, revoke_ms=200_000)
 
-    def test_host_that_lost_the_store_keeps_no_reader_waiting(self):
+    def test_host_that_lost_the_store_releases_held_reads(self):
         for event in ("lost", "one read lost", "stops"):
             with self.subTest(event=event):
 
                 async def story(scene, event=event):
                     program = scene.program
-                    far = position_lib.Position(0, 1 << 20)
-                    query = feed.FeedQuery("keyed.servers", far, 4.0)
-                    held = http1_client.ClientRequest(
+                    beyond_end = position_lib.Position(0, 1 << 20)
+                    query = feed.FeedQuery("keyed.servers", beyond_end, 4.0)
+                    request = http1_client.ClientRequest(
                         b"GET", feed.encode_query(query), [(b"host", b"h1")]
                     )
-                    answers = []
+                    statuses = []
 
-                    async def ask():
+                    async def read_topic():
                         answer = await http1_client.call(
                             scene.pool,
                             program.feed_server.address,
-                            held,
+                            request,
                             6.0,
                             1 << 20,
                         )
-                        answers.append(answer.head.status)
+                        statuses.append(answer.head.status)
 
-                    scene.tasks.start_soon(ask)
+                    scene.tasks.start_soon(read_topic)
                     await anyio.sleep(0.2)
-                    self.assertEqual(answers, [])
+                    self.assertEqual(statuses, [])
                     if event == "lost":
                         scene.store.faults.status = 503
                         program.follower_context.watch.record_failure("a test")
@@ -215,15 +218,15 @@
                         scene.tasks.start_soon(
                             program.drain, anyio.current_time()
                         )
-                    await scene.until(lambda: answers)
-                    self.assertEqual(answers, [503])
+                    await scene.until(lambda: statuses)
+                    self.assertEqual(statuses, [503])
                     if event == "one read lost":
-                        # Nobody waited until the store was known to be lost.
+                        # The read was released before the store counts as lost.
                         self.assertFalse(scene.site.is_store_lost)
 
                 scene_lib.run_scenario(story)
 
-    def test_host_whose_source_lost_the_store_does_not_trust_its_age(self):
+    def test_keys_expire_when_the_source_lost_the_store(self):
         async def story(scene):
             reader = await second_host(scene, revoke_ms=1800)
             await scene.until(lambda: "h1" in reader.source.hosts)
@@ -239,8 +242,8 @@
 
         scene_lib.run_scenario(story, revoke_ms=1800)
 
-    def test_silent_connections_to_the_source_are_found_together(self):
-        """The topic that is read most often tells of the others."""
+    def test_one_silent_connection_exposes_the_others(self):
+        """A lost read of one topic makes the reads of the others be resent."""
 
         async def story(scene):
             reader = await second_host(scene)
@@ -260,7 +263,7 @@
 
         scene_lib.run_scenario(story)
 
-    def test_host_reads_the_store_when_its_source_is_gone(self):
+    def test_host_reads_the_store_when_its_source_is_stopping(self):
         async def story(scene):
             reader = await second_host(scene)
             await scene.until(lambda: "h1" in reader.source.hosts)
@@ -271,8 +274,8 @@
 
         scene_lib.run_scenario(story)
 
-    def test_host_that_joins_learns_from_another_one(self):
-        """It reads the list of hosts, and the rest from one of these."""
+    def test_joining_host_reads_topics_from_another_host(self):
+        """A joining host reads only the list of hosts from the store."""
 
         async def story(scene):
             before = dict(scene.store.calls)
@@ -284,18 +287,16 @@
             newest = calls["log-newest"] - before["log-newest"]
             self.assertEqual(newest, 1)
 
-        with mock.patch.object(
-            feed_source.FeedSource, "pick", pick_the_other_one
-        ):
+        with mock.patch.object(feed_source.FeedSource, "pick", pick_first_host):
             scene_lib.run_scenario(story)
 
-    def test_host_that_is_listed_already_writes_nothing(self):
+    def test_listed_host_does_not_write_its_entry_again(self):
         async def story(scene):
             joined = await second_host(scene)
             await scene.until(lambda: "h2" in joined.source.hosts)
             _, port = joined.feed_server.address.split(":")
             writes = scene.store.calls["log-append"]
-            again = host_registry.HostRegistry(
+            second_registry = host_registry.HostRegistry(
                 joined.store,
                 joined.site,
                 joined.source,
@@ -303,16 +304,16 @@
                 joined.hosts_read,
                 anyio.Event(),
             )
-            await again.register()
-            self.assertTrue(again.hosts_settled.is_set())
+            await second_registry.register()
+            self.assertTrue(second_registry.hosts_settled.is_set())
             self.assertEqual(scene.store.calls["log-append"], writes)
 
         scene_lib.run_scenario(story)
 
-    def test_host_that_finds_nobody_to_read_from_reads_the_store(self):
+    def test_joining_host_reads_the_store_when_its_source_is_gone(self):
         async def story(scene):
             entry = scene.program.source.hosts["h1"]
-            # Listed, but nobody is there any more.
+            # The listed address has no listener.
             scene.store.put(
                 host_registry.HOSTS_TOPIC,
                 "h1",
@@ -321,7 +322,5 @@
             joined = await second_host(scene)
             self.assertEqual(joined.site.table.position, 1)
 
-        with mock.patch.object(
-            feed_source.FeedSource, "pick", pick_the_other_one
-        ):
+        with mock.patch.object(feed_source.FeedSource, "pick", pick_first_host):
             scene_lib.run_scenario(story)
