--- a/hillthread/coordination/gateway/peers/work_feed.py
+++ b/hillthread/coordination/gateway/peers/work_feed.py
@@ -13,9 +13,9 @@
 Usage of quotas always goes through the gatherers, in the same packets as work
 notices where there are any: `state/quotas/usage_exchange.py`.
 
-Packets are datagrams on the feed port. The content of a packet is useful only
-for a moment, so lost packets are not sent again, and a host that does not
-respond delays no other.
+Packets are datagrams on the feed port. The content of most packets is useful
+only for a moment, so lost packets are not sent again; `resend` repeats the
+notices that must not be lost. A host that does not respond delays no other.
 """
 
 from __future__ import annotations
--- a/hillthread/coordination/gateway/store/__init__.py
+++ b/hillthread/coordination/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""What a gateway reads from the platform's store."""
+"""Topics of the platform's store that a gateway host follows."""
--- a/hillthread/coordination/gateway/store/host_registry.py
+++ b/hillthread/coordination/gateway/store/host_registry.py
@@ -1,8 +1,8 @@
-"""Which hosts there are: to share budgets, duties and reads of the store.
+"""Registers this host and tracks the others that share budgets and duties.
 
-Each host writes its entry into a keyed topic when it starts. One that is gone
-stays listed: parts of a budget are then smaller than they could be, never
-larger, and a peer that does not answer is avoided for a while.
+Each host writes its entry to a keyed topic when it starts. Entries of hosts
+that are gone remain: shares of a budget are then smaller than they could be,
+never larger, and a peer that does not answer is avoided for a while.
 """
 
 from __future__ import annotations
@@ -28,21 +28,23 @@
     "compute_rewrite_spread_s",
 ]
 
-# What hosts publish for good. Records of other kinds share the topic, since
-# every topic that hosts follow has its price.
+# Topic of the records that hosts publish permanently. Records of other kinds
+# share it, since each topic that hosts follow costs calls to the store.
 HOSTS_TOPIC = "keyed.hosts"
-# Begins the keys of requests that end targets; no host is named so.
+# Prefix of the keys of requests under which targets crash. No host name starts
+# with it.
 QUARANTINE_PREFIX = "quarantine/"
-_RETRY_S = 2.0
-# Of the writes that the store takes from all hosts, a part.
-_REWRITES_PER_S = 100.0
-_SPREAD = 0.5
+_RETRY_DELAY_S = 2.0
+# Rate at which all hosts together write lost records again: a part of the
+# writes that the store accepts.
+_MAX_REWRITES_PER_S = 100.0
+_RETRY_JITTER_SHARE = 0.5
 
 _logger = logging.getLogger("hillthread.hosts")
 
 
 class _Entry(msgspec.Struct):
-    """What a host writes of itself."""
+    """Stored entry of a host."""
 
     data_centre: str
     feed: str
@@ -53,15 +55,16 @@
 
 
 class HostRegistry:
-    """Lists this host and knows the others.
+    """Writes the entry of this host and applies those of the others.
 
     Attributes:
-        store: The platform's store.
-        site: Whose `hosts` and `neighbours` are set.
-        source: Whose hosts are kept.
-        feed: `IP:port` where this host answers others.
-        known: Set when the list was read.
-        settled: Set when hosts that started together with this one are listed.
+        store: Client of the platform's store.
+        site: State of this host, whose `hosts` and `neighbours` are updated.
+        source: Receives the entries of all hosts.
+        feed: `IP:port` at which this host serves other hosts.
+        hosts_read: Set when the list of hosts has been read once.
+        hosts_settled: Set when the hosts that started together with this one
+            are listed.
     """
 
     def __init__(
@@ -81,35 +84,36 @@
         self.hosts_settled = hosts_settled
 
     async def register(self) -> None:
-        """Writes this host's entry, if the list has another or none.
+        """Writes this host's entry unless the list already has it.
 
-        Each write has its price, and has all other hosts read the list: one
-        that starts again where it was is listed already.
+        Each write has a cost and makes all other hosts read the list. A host
+        that restarts at the same address is already listed.
         """
         await self.hosts_read.wait()
-        wanted = self._own_entry()
-        if self.source.hosts.get(wanted.name) == wanted:
-            self._settle()
+        own_entry = self._own_entry()
+        if self.source.hosts.get(own_entry.name) == own_entry:
+            self._mark_settled()
             return
-        await self._put_listed(wanted)
+        await self._write_entry(own_entry)
 
-    async def register_again(self, listed: Callable[[], bytes]) -> None:
-        """Writes this host's entry if the store was restored without it.
+    async def register_again(self, read_entry: Callable[[], bytes]) -> None:
+        """Writes this host's entry if the restored store lacks it.
 
-        All hosts that joined since the copy was made do so: each waits a
-        moment, the longer the more hosts there are.
+        All hosts that joined after the backup was made do so at about the same
+        time. Each waits for a random delay, which grows with the number of
+        hosts.
 
         Args:
-            listed: Returns this host's entry in the store; empty if it has
-                none. It may be that of an earlier process.
+            read_entry: Returns this host's entry in the store, which may be
+                that of an earlier process; empty if there is none.
         """
         spread_s = compute_rewrite_spread_s(self.site.cluster_size)
         await anyio.sleep(random.uniform(0.0, spread_s))
-        wanted = self._own_entry()
-        if listed() == _encode(wanted):
-            self._settle()
+        own_entry = self._own_entry()
+        if read_entry() == _encode_entry(own_entry):
+            self._mark_settled()
             return
-        await self._put_listed(wanted)
+        await self._write_entry(own_entry)
 
     def _own_entry(self) -> feed_source.HostEntry:
         settings = self.site.settings
@@ -117,29 +121,31 @@
             settings.host, settings.data_centre, self.feed, settings.link_mbps
         )
 
-    def _settle(self) -> None:
-        """Notes that this host is listed, and so are those it started with."""
+    def _mark_settled(self) -> None:
+        """Marks the hosts that started with this one, and itself, as listed."""
         self.hosts_settled.set()
-        self._count()
+        self._update_host_count()
 
-    async def _put_listed(self, wanted: feed_source.HostEntry) -> None:
-        """Writes this host's entry, until that succeeds."""
-        entry = _encode(wanted)
+    async def _write_entry(self, own_entry: feed_source.HostEntry) -> None:
+        """Writes this host's entry; retries until that succeeds."""
+        entry = _encode_entry(own_entry)
         while True:
             try:
-                await self.store.put(HOSTS_TOPIC, wanted.name, entry)
+                await self.store.put(HOSTS_TOPIC, own_entry.name, entry)
             except errors.HillthreadError as error:
                 _logger.warning(
-                    "host not listed",
+                    "writing the entry of this host failed",
                     extra={"event": "host_unlisted", "reason": error.message},
                 )
             else:
-                self._put(wanted)
+                self._apply_entry(own_entry)
                 return
-            await anyio.sleep(_RETRY_S * random.uniform(1.0, 1.0 + _SPREAD))
+            await anyio.sleep(
+                _RETRY_DELAY_S * random.uniform(1.0, 1.0 + _RETRY_JITTER_SHARE)
+            )
 
     def apply_host_record(self, record: topic_copy.TopicRecord) -> None:
-        """Applies a change of the topic.
+        """Applies a changed record of the topic.
 
         Raises:
             ConfigurationError: The entry is unreadable.
@@ -154,9 +160,9 @@
         else:
             self.source.remove(record.key)
         if record.key == self.site.settings.host and self.hosts_read.is_set():
-            # Others that started with it were read together with its entry.
+            # Entries of hosts that started together are read together.
             self.hosts_settled.set()
-        self._count()
+        self._update_host_count()
         _logger.info(
             "hosts changed",
             extra={
@@ -166,29 +172,29 @@
             },
         )
 
-    def _put(self, entry: feed_source.HostEntry) -> None:
+    def _apply_entry(self, entry: feed_source.HostEntry) -> None:
         self.source.put(entry)
-        self._count()
+        self._update_host_count()
 
-    def _count(self) -> None:
-        """Notes how many hosts share budgets.
+    def _update_host_count(self) -> None:
+        """Updates the number of hosts that share budgets.
 
-        Until those are known that started with this one, no fewer than are
-        assumed at the start: each would take too large a part.
+        Until the hosts that started with this one are listed, the number does
+        not fall below the default: each host would take too large a share.
         """
-        least = (
+        min_hosts = (
             1 if self.hosts_settled.is_set() else site_lib.DEFAULT_CLUSTER_SIZE
         )
-        self.site.cluster_size = max(least, len(self.source.hosts))
+        self.site.cluster_size = max(min_hosts, len(self.source.hosts))
         self.site.neighbour_count = self.source.count_neighbours()
 
 
-def _encode(entry: feed_source.HostEntry) -> bytes:
+def _encode_entry(entry: feed_source.HostEntry) -> bytes:
     return msgspec.json.encode(
         _Entry(entry.data_centre, entry.feed, entry.link_mbps)
     )
 
 
 def compute_rewrite_spread_s(hosts: int) -> float:
-    """Returns within which time hosts write again what the store has lost."""
-    return hosts / _REWRITES_PER_S
+    """Returns the time over which hosts spread writes of lost records."""
+    return hosts / _MAX_REWRITES_PER_S
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -1,8 +1,9 @@
-"""Follows the keyed topics of the store: the newest of each key, then changes.
+"""Follows the keyed topics of the store.
 
-Reads are held by the store until something changes, so that a change is known
-at once and a quiet topic costs few calls. In a data centre with many hosts most
-of them read from one that reads for all.
+A follower first reads the newest record of each key, then the changes. The
+store holds reads until something changes, so that changes arrive at once and an
+unchanged topic costs few calls. In a data centre with many hosts most of them
+read from one host, which reads the store for all.
 """
 
 from __future__ import annotations
@@ -28,33 +29,36 @@
 
 __all__ = ["TopicFollower"]
 
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 0.5
-# The same where a data centre has many hosts, which share the store's rate.
-_LONGEST_SHARED_PAUSE_S = 1.0
-# A follower that waits for another one's success reads after this time.
-_LONGEST_WAIT_S = 3.0
-_JITTER = 0.3
-# How old another host's knowledge may be before the store is read instead.
-_PEER_AGE_S = 1.0
-# A store that answers lists the hosts within this time.
-_FIRST_HOSTS_S = 0.3
+_MIN_PAUSE_S = 0.1
+_MAX_PAUSE_S = 0.5
+# Maximum pause in a data centre with many hosts, which share the call rate of
+# the store.
+_MAX_SHARED_PAUSE_S = 1.0
+# Time after which a follower that waits for the probing follower reads itself.
+_MAX_PROBE_WAIT_S = 3.0
+_PAUSE_JITTER_SHARE = 0.3
+# Maximum age of the data of another host; if it is older, the store is read.
+_MAX_PEER_AGE_S = 1.0
+# Timeout of the wait for the list of hosts; a store that answers delivers it
+# within this time.
+_HOST_LIST_TIMEOUT_S = 0.3
 _MAX_PAGE_BYTES = 16_777_216
-# Timeout of a peer that confirms what was read at a start.
-_CONFIRM_S = 0.2
-# Before the first read.
-_START = position_lib.Position(0, 0)
+# Timeout of the requests to other hosts that confirm the first read.
+_CONFIRM_TIMEOUT_S = 0.2
+# Position of a follower before its first read.
+_START_POSITION = position_lib.Position(0, 0)
 
 _logger = logging.getLogger("hillthread.store")
 
 
 class _PackedPage(NamedTuple):
-    """Records that were packed for one host, for others that want the same.
+    """Packed records, cached for other hosts that request the same ones.
 
     Attributes:
-        position: Of the next record after them.
-        since: Of the first of them; None for the newest of all keys.
-        records: Packed.
+        position: Position of the record after the last one.
+        since: Position from which changes were requested; None for the newest
+            records of all keys.
+        records: The records as packed bytes.
     """
 
     position: position_lib.Position
@@ -66,11 +70,11 @@
     """Follows one keyed topic.
 
     Attributes:
-        plan: How.
-        readers: What all followers share.
-        copy: What is known of the topic.
-        freshness: How old that is.
-        changed: Set, and replaced, when a record came or reading fails.
+        plan: Options of the topic.
+        context: Objects that all followers of the host share.
+        copy: This host's copy of the topic.
+        freshness: Age of the copy.
+        changed: Set and replaced when a record arrives or reading fails.
     """
 
     def __init__(
@@ -84,50 +88,51 @@
         self.copy = topic_copy.TopicCopy()
         self.freshness = shared_freshness or freshness.Freshness()
         self.changed = anyio.Event()
-        self._brought = False
-        self._held: anyio.CancelScope | None = None
+        self._had_records = False
+        self._held_scope: anyio.CancelScope | None = None
         self._held_since = 0.0
         self._lost_at: float | None = None
         self._is_truncated = False
-        self._packed: _PackedPage | None = None
+        self._packed_page: _PackedPage | None = None
 
     def interrupt(self, before: float = float("inf")) -> None:
-        """Sends a held read again that was sent before a time."""
-        if self._held is not None and self._held_since < before:
-            self._held.cancel()
+        """Cancels a held read sent before a time, so that it is sent again."""
+        if self._held_scope is not None and self._held_since < before:
+            self._held_scope.cancel()
 
     async def run(self) -> None:
         """Follows until cancelled."""
         failures = 0
         if not self.plan.lists_hosts:
-            with anyio.move_on_after(_FIRST_HOSTS_S):
+            with anyio.move_on_after(_HOST_LIST_TIMEOUT_S):
                 await self.context.hosts_read.wait()
         while True:
-            if self._brought:
-                await anyio.sleep(self._gather_s())
-            self._brought = False
+            if self._had_records:
+                await anyio.sleep(self._get_batch_delay_s())
+            self._had_records = False
             if not failures and not self.plan.lists_hosts:
-                await self._wait_settled()
-            peer = self._peer(failures)
+                await self._wait_for_settled_hosts()
+            peer = self._choose_peer(failures)
             if peer is not None and await self._read_peer(peer):
                 failures = 0
                 continue
             failures = await self._read_store(failures)
 
-    def _gather_s(self) -> float:
-        """Returns how long to wait for more after a read that brought some.
+    def _get_batch_delay_s(self) -> float:
+        """Returns the delay of the next read after one that returned records.
 
-        Where few hosts read, knowing early is worth more than the calls.
+        Where few hosts read the store, the delay is short: learning of changes
+        early matters more there than saving calls.
         """
         if self.context.source.has_shared_reader():
             return self.plan.batch_delay_s()
         return self.plan.lone_batch_delay_s
 
-    async def _wait_settled(self) -> None:
-        """Returns when it is known whom to read from.
+    async def _wait_for_settled_hosts(self) -> None:
+        """Waits until it is settled which host to read from.
 
-        Hosts that start together list themselves one after the other. What was
-        read at the start is new enough meanwhile, as behind a held read.
+        Hosts that start together register one after the other. The first read
+        is recent enough meanwhile, as it would be during a held read.
         """
         is_lost = self.context.watch.lost_at is not None
         if self.copy.position is None or is_lost:
@@ -137,14 +142,15 @@
 
     @property
     def has_lost_read(self) -> bool:
-        """Whether a read was lost, and none was answered since."""
+        """Whether a read was lost and none has been answered since."""
         return self._lost_at is not None
 
     @property
     def needs_full_read(self) -> bool:
-        """Whether the topic has to be read whole again.
+        """Whether the newest records of all keys must be read again.
 
-        The store was restored since, or does not keep what follows.
+        This is so when the store was restored after the last read, or no
+        longer keeps the changes that follow it.
         """
         position = self.copy.position
         if position is None:
@@ -154,77 +160,77 @@
         )
 
     def build_page(self, start: position_lib.Position) -> bytes:
-        """Returns what another host wants to know now.
+        """Returns the encoded page of records from a position on.
 
-        Hosts that ask together get the same bytes, which are packed once.
+        Records are packed once for all hosts that request the same ones.
         """
-        position = self.copy.position or _START
+        position = self.copy.position or _START_POSITION
         age_s = self.freshness.age(clock.now())
         records = self.copy.list_since(start)
         whole = records is None
         if records is None:
             records = list(self.copy.newest.values())
         since = None if whole else start
-        packed = self._packed
+        packed = self._packed_page
         if packed is None or (packed.position, packed.since) != (
             position,
             since,
         ):
             packed = _PackedPage(position, since, feed.pack_records(records))
-            self._packed = packed
+            self._packed_page = packed
         return feed.encode_page(position, whole, age_s, packed.records)
 
-    def _peer(self, failures: int) -> feed_source.HostEntry | None:
+    def _choose_peer(self, failures: int) -> feed_source.HostEntry | None:
         if failures or (self.copy.position is None and self.plan.lists_hosts):
             return None
         return self.context.source.pick(clock.now())
 
     async def _read_peer(self, peer: feed_source.HostEntry) -> bool:
-        """Reads from another host; returns whether that helped."""
+        """Reads from another host; returns whether that succeeded."""
         started = clock.now()
         peer_hold_s = self.plan.peer_hold_s()
         page = None
         self._held_since = started
         try:
-            with anyio.CancelScope() as self._held:
+            with anyio.CancelScope() as self._held_scope:
                 page = await self._call_peer(peer, peer_hold_s)
-            if self._held.cancelled_caught:
-                return True  # it says nothing of the peer
+            if self._held_scope.cancelled_caught:
+                return True  # interrupted: this is no failure of the peer
         except http1_client.CallError as error:
             if error.sent:
-                self._note_lost_read(error.reason)
+                self._record_lost_read(error.reason)
         except errors.PeerError:
-            pass  # it was answered, and is counted below
+            pass  # the peer answered; the failure is counted below
         now = clock.now()
         outcome = "peer_failed"
         if page is not None and self._is_current(page):
-            is_first = self.copy.position is None
-            self._take_page(page)
-            if is_first:
+            is_first_read = self.copy.position is None
+            self._apply_page(page)
+            if is_first_read:
                 self.plan.on_caught_up()
             waited_s = min(peer_hold_s, now - started)
             held_s = 0.0 if page.records else waited_s
             self.freshness.note_read(started - page.age_s, held_s)
             self.context.watch.record_success()
-            self._note_answer()
+            self._record_answer()
             outcome = "peer_answered"
         else:
             self.context.source.avoid(peer.name, now)
-        self._count(outcome, started)
+        self._count_read(outcome, started)
         return outcome == "peer_answered"
 
     def _is_current(self, page: feed.FeedPage) -> bool:
-        """Returns whether another host knows enough to be followed."""
+        """Returns whether the data of another host is recent enough."""
         if page.position.era < self.context.client.current_era:
             return False
-        oldest_s = _PEER_AGE_S + self.plan.reader_hold_s()
-        return page.age_s <= oldest_s
+        max_age_s = _MAX_PEER_AGE_S + self.plan.reader_hold_s()
+        return page.age_s <= max_age_s
 
     async def _call_peer(
-        self, peer: feed_source.HostEntry, wait_s: float
+        self, peer: feed_source.HostEntry, hold_s: float
     ) -> feed.FeedPage:
-        start = self.copy.position or _START
-        query = feed.FeedQuery(self.plan.topic, start, wait_s)
+        start = self.copy.position or _START_POSITION
+        query = feed.FeedQuery(self.plan.topic, start, hold_s)
         request = http1_client.ClientRequest(
             b"GET", feed.encode_query(query), [(b"host", peer.feed.encode())]
         )
@@ -232,7 +238,7 @@
             self.context.peer_pool,
             peer.feed,
             request,
-            wait_s + held_read.PEER_READ_LOST_AFTER_S,
+            hold_s + held_read.PEER_READ_LOST_AFTER_S,
             _MAX_PAGE_BYTES,
         )
         if answer.head.status != 200:
@@ -242,54 +248,56 @@
             )
         return feed.decode_page(answer.body)
 
-    def _take_page(self, page: feed.FeedPage) -> None:
+    def _apply_page(self, page: feed.FeedPage) -> None:
         self._is_truncated = False
-        # A peer may know of a restoration before the store has answered.
+        # A peer may know of a restoration before the store answers this host.
         self.context.client.apply_era(page.position.era)
         if page.is_snapshot:
-            if page.position < (self.copy.position or _START):
-                return  # it knows less than this host
-            self._take_whole(page.records, page.position)
+            if page.position < (self.copy.position or _START_POSITION):
+                return  # the copy of this host is newer
+            self._apply_full_read(page.records, page.position)
             return
         for record in page.records:
             if self.copy.add(record):
-                self._take_all([record])
-        # Records that the other host could not read are not among them.
+                self._apply_changes([record])
+        # The page has no records that the other host could not decode, so the
+        # copy may still be behind its position.
         self.copy.advance(page.position)
 
     async def _read_store(self, failures: int) -> int:
-        """Reads from the store; returns failures in a row so far."""
+        """Reads from the store; returns the number of failures in a row."""
         started = clock.now()
         try:
             if self.copy.position is None or self.needs_full_read:
                 await self._read_newest(started)
-            elif not await self._read_changes(self._wait_s(failures)):
-                return 0  # interrupted: it says nothing of the store
+            elif not await self._read_changes(self._get_hold_s(failures)):
+                return 0  # interrupted: this is no failure of the store
         except store.TruncatedError:
             self._is_truncated = True
-            self._count("truncated", started)
+            self._count_read("truncated", started)
             return 0
         except store.RestoredError:
-            self._count("restored", started)
+            self._count_read("restored", started)
             return 0
         except store.LostReadError as error:
             if not failures and self.context.watch.lost_at is None:
-                self._note_lost_read(error.message)
-                self._count("lost", started)
+                self._record_lost_read(error.message)
+                self._count_read("lost", started)
                 return 1
-            return await self._note_failure(failures, error, started)
+            return await self._record_failure(failures, error, started)
         except errors.LogError as error:
-            return await self._note_failure(failures, error, started)
+            return await self._record_failure(failures, error, started)
         self.context.watch.record_success()
-        self._count("answered", started)
-        self._note_answer()
+        self._count_read("answered", started)
+        self._record_answer()
         return 0
 
-    def _note_lost_read(self, reason: str) -> None:
-        """Notes a read that was not answered; the next one shows more.
+    def _record_lost_read(self, reason: str) -> None:
+        """Records a read that was not answered.
 
-        It goes over a new connection at once: an open one may have died, or
-        have fallen silent for good, while the store or the peer is well.
+        The next read is sent at once over a new connection and shows whether
+        only the connection failed: an open connection may be dead or silent
+        for good while the store or the peer works.
         """
         self._lost_at = clock.now()
         self.wake()
@@ -302,83 +310,84 @@
             },
         )
 
-    def _note_answer(self) -> None:
-        """Makes other reads suspect if this one follows one that was lost."""
+    def _record_answer(self) -> None:
+        """Reports older held reads as suspect if a read before was lost."""
         if self._lost_at is None:
             return
         lost_at, self._lost_at = self._lost_at, None
         self.context.watch.on_suspect(lost_at)
 
-    async def _note_failure(
+    async def _record_failure(
         self, failures: int, error: errors.LogError, started: float
     ) -> int:
-        """Notes that the store fails and waits; returns failures so far."""
+        """Records a failure of the store and pauses; returns the new count."""
         self._lost_at = None
         self.context.watch.record_failure(error.message)
-        self._count("failed", started)
-        await self._pause(failures + 1)
+        self._count_read("failed", started)
+        await self._pause_after_failure(failures + 1)
         return failures + 1
 
-    async def _pause(self, failures: int) -> None:
-        """Returns when a store that failed may be read again.
+    async def _pause_after_failure(self, failures: int) -> None:
+        """Waits until a store that failed may be read again.
 
-        Each call has its price: one follower of the host finds out for all
-        when the store answers again.
+        Each call has a cost, so one follower of the host probes the store for
+        all others.
         """
-        longest_s = _LONGEST_PAUSE_S
+        max_pause_s = _MAX_PAUSE_S
         if self.context.source.has_shared_reader():
-            longest_s = _LONGEST_SHARED_PAUSE_S
-        await anyio.sleep(_pause_s(failures, longest_s))
+            max_pause_s = _MAX_SHARED_PAUSE_S
+        await anyio.sleep(_compute_pause_s(failures, max_pause_s))
         is_lost = self.context.watch.lost_at is not None
         if is_lost and not self.plan.probes_store:
-            with anyio.move_on_after(_LONGEST_WAIT_S):
+            with anyio.move_on_after(_MAX_PROBE_WAIT_S):
                 await self.context.watch.reachable.wait()
 
-    def _wait_s(self, failures: int) -> float:
-        """Returns how long the store is to hold the next read, seconds.
+    def _get_hold_s(self, failures: int) -> float:
+        """Returns how long the store is to hold the next read, in seconds.
 
-        After a failure or a lost read, also of another follower, an answer at
-        once is wanted.
+        After a failure or a lost read, also one of another follower, the store
+        is to answer at once.
         """
         is_lost = self.context.watch.lost_at is not None
         if failures or is_lost or self._lost_at is not None:
             return 0.0
-        wait_s = self.plan.store_hold_s()
+        hold_s = self.plan.store_hold_s()
         if self.context.source.is_shared_reader():
-            return min(wait_s, self.plan.reader_hold_s())
-        return wait_s
+            return min(hold_s, self.plan.reader_hold_s())
+        return hold_s
 
     async def _read_newest(self, started: float) -> None:
         page = await self.context.client.newest(self.plan.topic)
         records = page.records
         if self.plan.confirms_first_read and not self.copy.newest:
-            records = await self._confirm(records)
-        self._take_whole(records, page.end)
+            records = await self._confirm_records(records)
+        self._apply_full_read(records, page.end)
         self.freshness.note_read(started)
         self.plan.on_caught_up()
         if self.plan.lists_hosts:
-            self._brought = True  # others that start now are about to come
+            # Entries of hosts that start now are about to follow.
+            self._had_records = True
 
-    async def _confirm(
+    async def _confirm_records(
         self, records: list[topic_copy.TopicRecord]
     ) -> list[topic_copy.TopicRecord]:
-        """Returns records of the store, or newer ones that other hosts have."""
+        """Replaces records by newer ones of other hosts, and returns all."""
         newest = {each.key: each for each in records}
         pages: list[feed.FeedPage] = []
 
-        async def ask(peer: feed_source.HostEntry) -> None:
+        async def read_records(peer: feed_source.HostEntry) -> None:
             try:
                 pages.append(await self._call_peer(peer, 0.0))
             except (http1_client.CallError, errors.PeerError) as error:
-                # It has just started, too, or is gone.
-                _logger.debug("host %s confirms nothing: %s", peer.name, error)
+                # The host has just started as well, or is gone.
+                _logger.debug("host %s sent no records: %s", peer.name, error)
 
-        with anyio.move_on_after(_CONFIRM_S):
+        with anyio.move_on_after(_CONFIRM_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
                 for peer in self.context.source.pick_confirming_hosts(
                     random.choice
                 ):
-                    tasks.start_soon(ask, peer)
+                    tasks.start_soon(read_records, peer)
         for record in (each for page in pages for each in page.records):
             known = newest.get(record.key)
             if known is not None and self.plan.is_older(known, record):
@@ -386,36 +395,36 @@
                 newest[record.key] = record._replace(position=unwritten)
         return list(newest.values())
 
-    async def _read_changes(self, wait_s: float) -> bool:
-        """Reads what came since; returns false if that was interrupted."""
+    async def _read_changes(self, hold_s: float) -> bool:
+        """Reads the next changes; returns false if that was interrupted."""
         started = clock.now()
         page = None
         self._held_since = started
-        with anyio.CancelScope() as self._held:
+        with anyio.CancelScope() as self._held_scope:
             page = await self.context.client.read(
-                self.plan.topic, self.copy.position or _START, wait_s
+                self.plan.topic, self.copy.position or _START_POSITION, hold_s
             )
-        self._held = None
+        self._held_scope = None
         if page is None:
             return False
         for record in page.records:
-            self._take_raw(record)
-        if (self.copy.position or _START) < page.end:
-            return True  # the rest, which may be anything, comes with the next
-        took_s = clock.now() - started
-        held_s = 0.0 if page.records else min(wait_s, took_s)
+            self._apply_raw_record(record)
+        if (self.copy.position or _START_POSITION) < page.end:
+            return True  # incomplete: it proves nothing about later records
+        elapsed_s = clock.now() - started
+        held_s = 0.0 if page.records else min(hold_s, elapsed_s)
         self.freshness.note_read(started, held_s)
         return True
 
-    def _take_whole(
+    def _apply_full_read(
         self,
         records: list[topic_copy.TopicRecord],
         end: position_lib.Position,
     ) -> None:
-        """Takes over the newest record of every key."""
+        """Replaces the copy by the newest records of all keys."""
         self._is_truncated = False
         if not self.copy.is_restored_by(end.era):
-            self._take_all(self.copy.replace(records, end))
+            self._apply_changes(self.copy.replace(records, end))
             return
         restored = self.copy.restore(
             records, end, self.plan.is_older, self.plan.keeps_missing
@@ -431,47 +440,49 @@
                 "lost": len(restored.lost),
             },
         )
-        self._take_all(restored.changes)
+        self._apply_changes(restored.changes)
         self.plan.on_lost(restored.lost)
         self.wake()
 
-    def _take_raw(self, raw: log_pages.LogRecord) -> None:
+    def _apply_raw_record(self, raw: log_pages.LogRecord) -> None:
         try:
             record = log_pages.parse_keyed_record(raw)
         except errors.LogError as error:
             offset = raw.position.offset
             self.copy.advance(raw.position._replace(offset=offset + 1))
-            self._note_bad(str(offset), error)
+            self._report_bad_record(str(offset), error)
             return
         if self.copy.add(record):
-            self._take_all([record])
+            self._apply_changes([record])
 
-    def _take_all(self, changes: list[topic_copy.TopicRecord]) -> None:
+    def _apply_changes(self, changes: list[topic_copy.TopicRecord]) -> None:
         for record in changes:
             try:
                 self.plan.apply_record(record)
             except errors.ConfigurationError as error:
-                self._note_bad(record.key, error)
+                self._report_bad_record(record.key, error)
         if changes:
-            self._brought = True
+            self._had_records = True
             self.wake()
 
     def wake(self) -> None:
-        """Wakes those who wait for a change."""
+        """Wakes all tasks that wait for `changed`."""
         self.changed.set()
         self.changed = anyio.Event()
 
-    def _count(self, outcome: str, started: float) -> None:
+    def _count_read(self, outcome: str, started: float) -> None:
         metrics = self.context.metrics
         metrics.store_calls.labels(self.plan.topic, outcome).inc()
         metrics.store_seconds.labels(self.plan.topic).observe(
             clock.now() - started
         )
 
-    def _note_bad(self, key: str, error: errors.HillthreadError) -> None:
+    def _report_bad_record(
+        self, key: str, error: errors.HillthreadError
+    ) -> None:
         self.context.metrics.bad_records.labels(self.plan.topic).inc()
         _logger.error(
-            "record passed over",
+            "unreadable record ignored",
             extra={
                 "event": "bad_record",
                 "topic": self.plan.topic,
@@ -481,6 +492,8 @@
         )
 
 
-def _pause_s(failures: int, longest_s: float) -> float:
-    pause = min(longest_s, _FIRST_PAUSE_S * 2 ** (failures - 1))
-    return pause * (1.0 + random.uniform(-_JITTER, _JITTER))
+def _compute_pause_s(failures: int, max_pause_s: float) -> float:
+    pause_s = min(max_pause_s, _MIN_PAUSE_S * 2 ** (failures - 1))
+    return pause_s * (
+        1.0 + random.uniform(-_PAUSE_JITTER_SHARE, _PAUSE_JITTER_SHARE)
+    )
--- a/hillthread/coordination/gateway/store/store_watch.py
+++ b/hillthread/coordination/gateway/store/store_watch.py
@@ -1,4 +1,4 @@
-"""Whether the platform's store answers this host."""
+"""Tracks whether the platform's store answers this host."""
 
 from __future__ import annotations
 
@@ -12,14 +12,19 @@
 
 
 class StoreWatch:
-    """Whether the store answers this host, as all its callers find.
+    """Tracks whether the store answers, from the calls of all its users.
 
     Attributes:
-        lost: Called with a reason when it stops answering.
-        back: Called with the time now and the seconds it was lost.
-        suspect: Called with the time since which connections are suspect:
-            one was lost or silent, and a new one works.
-        answers: Set while the store answers; replaced when it stops.
+        on_lost: Called with a reason when the store stops answering.
+        on_back: Called when the store answers again, with the current time and
+            the seconds for which it was lost.
+        on_suspect: Called with the time at which a read was lost when a later
+            one over a new connection is answered: connections that were in use
+            before that time may be dead.
+        lost_at: Time at which the store stopped answering; None while it
+            answers.
+        reachable: Set when the store answers again after it was lost; replaced
+            when it stops answering.
     """
 
     def __init__(
@@ -35,14 +40,14 @@
         self.reachable = anyio.Event()
 
     def record_failure(self, reason: str) -> None:
-        """Notes a call that was not answered."""
+        """Records a call that was not answered."""
         if self.lost_at is None:
             self.lost_at = clock.now()
             self.reachable = anyio.Event()
             self.on_lost(reason)
 
     def record_success(self) -> None:
-        """Notes a call that was answered."""
+        """Records a call that was answered."""
         if self.lost_at is not None:
             now = clock.now()
             self.on_back(now, now - self.lost_at)
--- a/hillthread/coordination/gateway/store/topic_plan.py
+++ b/hillthread/coordination/gateway/store/topic_plan.py
@@ -1,4 +1,4 @@
-"""How topics are followed, and what their followers share."""
+"""Options of topic followers, and the objects that all followers share."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 __all__ = ["FollowerContext", "TopicPlan"]
 
 
-def _nobody() -> None:
-    """Default of `caught_up`."""
+def _do_nothing() -> None:
+    """Default of `on_caught_up`."""
 
 
 def _ignore_lost(keys: list[str]) -> None:
-    """Default of `lost`."""
+    """Default of `on_lost`."""
     del keys
 
 
 def _is_never_older(
     record: topic_copy.TopicRecord, known: topic_copy.TopicRecord
 ) -> bool:
-    """Default for records without an order of their own."""
+    """Default for records whose values carry no version."""
     del record, known
     return False
 
 
 class FollowerContext(NamedTuple):
-    """What all followers of a host share.
+    """Objects that all followers of a host share.
 
     Attributes:
-        client: Calls the store.
-        watch: Whether the store answers.
-        source: Chooses whom to read from.
-        peers: Connections to other hosts.
-        metrics: What is counted.
-        hosts_read: Set when the list of hosts was read once.
-        hosts_settled: Set when the list surely names those that started
-            together with this one.
+        client: Client of the store.
+        watch: Tracks whether the store answers.
+        source: Chooses the host to read from, if not the store.
+        peer_pool: Connections to other hosts.
+        metrics: Metrics of the gateway.
+        hosts_read: Set when the list of hosts has been read once.
+        hosts_settled: Set when the list is certain to include the hosts that
+            started together with this one.
     """
 
     client: store.StoreClient
@@ -58,32 +58,36 @@
 
 
 class TopicPlan(NamedTuple):
-    """How a topic is followed.
+    """Options of the follower of one topic.
 
     Attributes:
-        topic: Its name.
-        wait_s: Returns how long the store is to hold the next read, seconds.
-        reader_wait_s: Returns how long it holds reads of a host that reads for
-            others, at most.
-        peer_wait_s: Returns how long another host is to hold a read, seconds.
-        gather_s: Returns how much later the next read is sent after one that
-            brought something, seconds: changes often come in numbers, and each
-            read costs.
-        lone_gather_s: The same where each host reads for itself.
-        take: Called with each change.
-        caught_up: Called when the newest of all keys was read.
+        topic: Name of the topic.
+        store_hold_s: Returns how long the store is to hold the next read, in
+            seconds.
+        reader_hold_s: Returns the maximum of that time on a host that reads
+            for others, in seconds.
+        peer_hold_s: Returns how long another host is to hold a read, in
+            seconds.
+        batch_delay_s: Returns the delay of the next read after one that
+            returned records, in seconds: changes often come in groups, and
+            each read has a cost.
+        lone_batch_delay_s: That delay in seconds where each host reads for
+            itself.
+        apply_record: Called with each changed record.
+        on_caught_up: Called when the newest records of all keys were read.
         is_older: Returns whether the first of two records with the same key is
-            older by what its writer says.
-        keeps_missing: Keys that the topic lacks once the store was restored
-            are kept; otherwise they count as removed.
-        lost: Called with the keys that a restored topic lacks or has older
-            values of, and that are kept.
-        confirms_start: A process that starts asks other hosts for newer records
-            than the store has, which may just have been restored.
-        asks_for_all: While the store fails, this topic's follower finds out
-            when it answers again.
-        lists_hosts: The topic tells which hosts there are: followers of other
-            topics wait for it, to read from one of these.
+            older, by the version that its writer gave it.
+        keeps_missing: Whether keys that a restored topic lacks are kept;
+            otherwise they count as removed.
+        on_lost: Called with the keys that are kept though a restored topic
+            lacks them or has older values of them.
+        confirms_first_read: Whether the first read of a process also requests
+            records from other hosts, since the store may just have been
+            restored and have older ones.
+        probes_store: Whether this follower probes a store that fails; the
+            other followers wait until the store answers again.
+        lists_hosts: Whether the topic holds the list of hosts. Followers of
+            other topics wait for it, so as to read from one of these hosts.
     """
 
     topic: str
@@ -93,7 +97,7 @@
     batch_delay_s: Callable[[], float]
     lone_batch_delay_s: float
     apply_record: Callable[[topic_copy.TopicRecord], None]
-    on_caught_up: Callable[[], None] = _nobody
+    on_caught_up: Callable[[], None] = _do_nothing
     is_older: Callable[
         [topic_copy.TopicRecord, topic_copy.TopicRecord], bool
     ] = _is_never_older
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -177,7 +177,7 @@
 
         with (
             mock.patch.object(host_lib, "_OPERATOR_WAIT_S", 60.0),
-            mock.patch.object(store_follower, "_LONGEST_WAIT_S", 60.0),
+            mock.patch.object(store_follower, "_MAX_PROBE_WAIT_S", 60.0),
         ):
             scene_lib.run_scenario(story, revoke_ms=200_000)
 
@@ -213,7 +213,7 @@
                     elif event == "one read lost":
                         scene.store.faults.silent = True
                         follower = program.followers["keyed.servers"]
-                        follower._note_lost_read("a test")
+                        follower._record_lost_read("a test")
                     else:
                         scene.tasks.start_soon(
                             program.drain, anyio.current_time()
--- a/tests/coordination/gateway/store/__init__.py
+++ b/tests/coordination/gateway/store/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of what a gateway reads from the store."""
+"""Tests of the topics that a gateway host follows in the store."""
