--- a/hillthread/coordination/gateway/store/host_registry.py
+++ b/hillthread/coordination/gateway/store/host_registry.py
@@ -90,7 +90,7 @@
         that restarts at the same address is already listed.
         """
         await self.hosts_read.wait()
-        own_entry = self._own_entry()
+        own_entry = self._build_own_entry()
         if self.source.hosts.get(own_entry.name) == own_entry:
             self._mark_settled()
             return
@@ -109,13 +109,13 @@
         """
         spread_s = compute_rewrite_spread_s(self.site.cluster_size)
         await anyio.sleep(random.uniform(0.0, spread_s))
-        own_entry = self._own_entry()
+        own_entry = self._build_own_entry()
         if read_entry() == _encode_entry(own_entry):
             self._mark_settled()
             return
         await self._write_entry(own_entry)
 
-    def _own_entry(self) -> feed_source.HostEntry:
+    def _build_own_entry(self) -> feed_source.HostEntry:
         settings = self.site.settings
         return feed_source.HostEntry(
             settings.host, settings.data_centre, self.feed, settings.link_mbps
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -101,7 +101,7 @@
             self._held_scope.cancel()
 
     async def run(self) -> None:
-        """Follows until cancelled."""
+        """Reads the topic until cancelled."""
         failures = 0
         if not self.plan.lists_hosts:
             with anyio.move_on_after(_HOST_LIST_TIMEOUT_S):
@@ -311,7 +311,7 @@
         )
 
     def _record_answer(self) -> None:
-        """Reports older held reads as suspect if a read before was lost."""
+        """Reports reads sent before a lost read, which may be lost as well."""
         if self._lost_at is None:
             return
         lost_at, self._lost_at = self._lost_at, None
@@ -391,6 +391,7 @@
         for record in (each for page in pages for each in page.records):
             known = newest.get(record.key)
             if known is not None and self.plan.is_older(known, record):
+                # The offset -1 marks records that the store does not have.
                 unwritten = known.position._replace(offset=-1)
                 newest[record.key] = record._replace(position=unwritten)
         return list(newest.values())
