--- a/hillthread/coordination/gateway/__init__.py
+++ b/hillthread/coordination/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway: data plane and duties of a host that only has a store."""
+"""The gateway: a host whose only dependency is the platform's store."""
--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -1,4 +1,4 @@
-"""One host: its sockets, what it follows, its duties, its planned stop."""
+"""A gateway host: sockets, topic followers, background tasks, planned stop."""
 
 from __future__ import annotations
 
@@ -38,53 +38,56 @@
 
 __all__ = ["GatewayHost"]
 
-# The balancer asks once a second and takes a host out after two misses; from
-# then on connections that rest are closed, before callers use them again.
-_NOTICE_S = 2.6
-# The balancer still uses hosts that are not ready when most of a data centre's
-# are not. What comes later than this could not be finished before the kill and
-# is refused: the pages excuse cut streams that came within 3 s.
+# The balancer checks readiness once a second and removes a host after two
+# failed checks. Then idle connections are closed, before callers reuse them.
+_BALANCER_NOTICE_S = 2.6
+# When most hosts of a data centre are not ready, the balancer uses them all the
+# same. Requests that arrive later than this could not be finished before the
+# kill and are refused. The platform's documentation excuses cut streams whose
+# requests arrived within 3 s.
 _CLOSING_S = 2.9
-_CLOSING_SHARE = 0.5
-# Before the process is killed, what still runs is broken off.
+_CLOSING_GRACE_SHARE = 0.5
+# Requests that still run this long before the process is killed are cancelled.
 _STOP_MARGIN_S = 0.3
-_IDLE_CHECK_S = 0.05
-# The lease is given back within this time, or lapses.
-_RELEASE_S = 0.5
-# For the final answers to what was broken off, within that margin.
-_LAST_ANSWERS_S = 0.15
-# Connections come up within 10 ms; a lost packet is sent again after a second.
+_DRAIN_POLL_INTERVAL_S = 0.05
+# A lease that is not released within this time expires by itself.
+_LEASE_RELEASE_TIMEOUT_S = 0.5
+# Time for the final answers to cancelled requests, within _STOP_MARGIN_S.
+_FINAL_ANSWERS_S = 0.15
+# Connections are established within 10 ms. A lost packet would be retransmitted
+# only after a second; the attempt is given up before that.
 _CONNECT_TIMEOUT_S = 0.2
-# Unanswered probes that end a connection to another host: a read that is lost
-# by mistake is soon sent again.
-_READ_PROBES = 1
-# How long the store holds a read at most, where no bound asks for less: each
-# read has its price.
+# Unanswered keepalive probes that end a connection to another host. One is
+# enough: a read that is wrongly given up is soon sent again.
+_MAX_UNANSWERED_PROBES = 1
+# Longest times for which the store holds a read where no bound requires less.
+# Each read has a cost, so they are long.
 _OPERATOR_WAIT_S = 2.5
 _TARGETS_WAIT_S = 20.0
-# The same between hosts, for what ages without harm while a read is held.
+# The same for reads from another host, of data that may age meanwhile.
 _PEER_WAIT_S = 4.0
-# Changes that follow each other are read together; those of targets for a share
-# of the time for which work may still reach one that leaves. At 0.3 of it hosts
-# learn too late of engines that come back. A host that reads for itself only
-# waits less: knowing early is worth more to it than the calls.
+# Delay of the next read, so that changes that follow each other are read
+# together. For targets it is a share of `drain_ms`, the time for which work may
+# still reach a target that leaves: at 0.3 hosts learn too late of engines that
+# come back. A host that reads only for itself waits less, since early knowledge
+# is worth more to it than the calls that it saves.
 _OPERATOR_GATHER_S = 0.2
 _TARGETS_GATHER_SHARE = 0.1
 _LONE_GATHER_S = 0.1
 _HOSTS_WAIT_S = 30.0
-# Hosts of a site that start together list themselves within this time.
+# Hosts that start together register in the store within this time.
 _HOSTS_GATHER_S = 2.0
-# Reads of the operator's topic also prove that no key was withdrawn: they end
-# before what is known of keys has reached this share of its greatest age.
-_PROOF_SHARE = 0.7
-_TICK_S = 0.25
-_STATUS_S = 5.0
+# Reads of the operator's topic also confirm that no key was withdrawn. They end
+# before the knowledge of keys reaches this share of its maximum age.
+_CONFIRMATION_AGE_SHARE = 0.7
+_TICK_INTERVAL_S = 0.25
+_STATUS_INTERVAL_S = 5.0
 
 _logger = logging.getLogger("hillthread.program")
 
 
 class GatewayHost:
-    """The gateway with its sockets, followers and duties."""
+    """The gateway with its sockets, topic followers and background tasks."""
 
     def __init__(
         self,
@@ -98,7 +101,7 @@
         self.site = site_lib.Site(settings, self.metrics)
         self.pool = http1_client.ConnectionPool(_CONNECT_TIMEOUT_S)
         self.store = store_lib.StoreClient(settings.store)
-        self.store.on_restored = self._store_restored
+        self.store.on_restored = self._on_store_restored
         ip, _ = settings_lib.split_address(settings.listen)
         self.source = feed_source.FeedSource(
             settings.host, settings.data_centre
@@ -126,15 +129,19 @@
         self.follower_context = topic_plan.FollowerContext(
             self.store,
             store_watch.StoreWatch(
-                self._store_lost, self._store_back, self._suspect_reads
+                self._on_store_lost,
+                self._on_store_back,
+                self._resend_held_reads,
             ),
             self.source,
-            http1_client.ConnectionPool(_CONNECT_TIMEOUT_S, _READ_PROBES),
+            http1_client.ConnectionPool(
+                _CONNECT_TIMEOUT_S, _MAX_UNANSWERED_PROBES
+            ),
             self.metrics,
             self.hosts_read,
             self.hosts_settled,
         )
-        self.followers = self._followers()
+        self.followers = self._create_followers()
         self.feed_server = http1_server.Server(
             (ip, settings.feed_port),
             feed_server.FeedServer(
@@ -164,7 +171,7 @@
             self.work,
             tasks,
         )
-        self.site.on_target_withdrawn = self._close_idle
+        self.site.on_target_withdrawn = self._close_idle_connections
         self.site.on_target_forgotten = self.limits.forget
         self.site.on_target_terminated = self.quarantine.record_target_end
         self.server = http1_server.Server(
@@ -174,13 +181,13 @@
             self.gateway.note_bad_request,
             self.gateway.note_caller_left,
         )
-        self.ready_server = self._status_server(settings.ready_listen)
-        self.metrics_server = self._status_server(
+        self.ready_server = self._create_status_server(settings.ready_listen)
+        self.metrics_server = self._create_status_server(
             f"{ip}:{settings.metrics_port}"
         )
 
     async def run(self) -> None:
-        """Starts everything."""
+        """Starts all servers, followers and background tasks."""
         for start in (
             *(follower.run for follower in self.followers.values()),
             self.feed_server.serve,
@@ -198,24 +205,35 @@
             self.tasks.start_soon(start)
 
     async def drain(self, requested_at: float) -> None:
-        """Stops as planned: not ready, serve on, then wait for requests."""
+        """Performs a planned stop.
+
+        The host reports that it is not ready, serves on until the balancer has
+        removed it, and then waits for unfinished requests.
+
+        Args:
+            requested_at: Seconds, when the stop was requested.
+        """
         self.site.is_draining = True
         self.server.stopping = True
         self._wake_readers()
         _logger.info("stopping", extra={"event": "stop_notice"})
         give_up_at = requested_at + self.site.settings.grace_s - _STOP_MARGIN_S
-        await anyio.sleep(min(_NOTICE_S, self.site.settings.grace_s / 2))
+        await anyio.sleep(
+            min(_BALANCER_NOTICE_S, self.site.settings.grace_s / 2)
+        )
         self.server.close_idle()
-        closing_s = min(_CLOSING_S, self.site.settings.grace_s * _CLOSING_SHARE)
+        closing_s = min(
+            _CLOSING_S, self.site.settings.grace_s * _CLOSING_GRACE_SHARE
+        )
         closing_at = requested_at + closing_s
         await anyio.sleep(max(0.0, closing_at - clock.now()))
         self.site.is_closing = True
-        with anyio.move_on_after(_RELEASE_S):
+        with anyio.move_on_after(_LEASE_RELEASE_TIMEOUT_S):
             await self.rollout.lease.release()
-        await self._wait_finished(give_up_at)
+        await self._wait_for_requests(give_up_at)
         cut = self.server.serving
         self.gateway.dispatcher.cancel_all()
-        await self._wait_finished(clock.now() + _LAST_ANSWERS_S)
+        await self._wait_for_requests(clock.now() + _FINAL_ANSWERS_S)
         _logger.info(
             "stopped",
             extra={
@@ -225,26 +243,26 @@
             },
         )
 
-    async def _wait_finished(self, until: float) -> None:
-        """Waits until no request is unfinished, or the time is over."""
+    async def _wait_for_requests(self, until: float) -> None:
+        """Waits until no request is unfinished, or until a point in time."""
         while clock.now() < until and self.server.unfinished:  # noqa: ASYNC110
-            await anyio.sleep(_IDLE_CHECK_S)
+            await anyio.sleep(_DRAIN_POLL_INTERVAL_S)
 
     async def answer_status(
         self,
         caller: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
     ) -> None:
-        """Answers the balancer's question and the metrics page."""
+        """Answers the balancer's readiness checks and the metrics page."""
         if caller.path.endswith("/metrics"):
-            kind = [(b"content-type", b"text/plain; version=0.0.4")]
-            await answer.send_whole(200, kind, self.metrics.render())
+            headers = [(b"content-type", b"text/plain; version=0.0.4")]
+            await answer.send_whole(200, headers, self.metrics.render())
             return
         reason = self.site.not_ready_reason(clock.now())
         status = 503 if reason else 200
         await answer.send_whole(status, [], reason.encode())
 
-    def _status_server(self, address: str) -> http1_server.Server:
+    def _create_status_server(self, address: str) -> http1_server.Server:
         return http1_server.Server(
             settings_lib.split_address(address),
             self.answer_status,
@@ -252,17 +270,17 @@
             self.gateway.note_bad_request,
         )
 
-    def _followers(self) -> dict[str, store_follower.TopicFollower]:
-        """Returns the followers of all topics, by topic."""
+    def _create_followers(self) -> dict[str, store_follower.TopicFollower]:
+        """Creates the followers of all topics, by topic."""
         plans = [
             topic_plan.TopicPlan(
                 configuration.OPERATOR_TOPIC,
-                self._operator_wait_s,
-                lambda: self._feed_holds().reader_s,
-                lambda: self._feed_holds().peer_s,
+                self._compute_operator_hold_s,
+                lambda: self._compute_feed_holds().reader_s,
+                lambda: self._compute_feed_holds().peer_s,
                 lambda: _OPERATOR_GATHER_S,
                 _LONE_GATHER_S,
-                self._take_operator,
+                self._apply_operator_record,
                 is_older=configuration.is_older,
                 keeps_missing=True,
                 confirms_first_read=True,
@@ -273,9 +291,9 @@
                 lambda: _TARGETS_WAIT_S,
                 lambda: _TARGETS_WAIT_S,
                 lambda: _PEER_WAIT_S,
-                self._targets_gather_s,
+                self._compute_targets_gather_s,
                 _LONE_GATHER_S,
-                self._take_target,
+                self._apply_target_record,
                 self.site.mark_targets_known,
                 is_older=targets.is_older,
             ),
@@ -286,10 +304,10 @@
                 lambda: _PEER_WAIT_S,
                 lambda: _HOSTS_GATHER_S,
                 _HOSTS_GATHER_S,
-                self._take_host,
+                self._apply_host_record,
                 self.hosts_read.set,
                 keeps_missing=True,
-                on_lost=self._write_again,
+                on_lost=self._rewrite_lost_records,
                 lists_hosts=True,
             ),
         ]
@@ -303,31 +321,33 @@
         operator.freshness = self.site.freshness
         return followers
 
-    def _operator_wait_s(self) -> float:
-        """Returns how long the next read may be held.
+    def _compute_operator_hold_s(self) -> float:
+        """Returns how long the next read of the operator's topic may be held.
 
-        A read that brings something proves nothing after its sending: the
-        next one must be short. One that is not answered when a change comes
-        must end soon enough for the next one to bring it in time: a hold of
-        2.5 s under a bound of 2 s kept an old configuration in force for
-        2.63 s in one of six plays of a day with five changes.
+        A read that returns changes confirms the keys only as of its sending,
+        so the next read must be short. A read that is not answered when a
+        change comes must end early enough for the next one to return the
+        change within the bound: a hold of 2.5 s under a bound of 2 s kept an
+        old configuration in force for 2.63 s.
         """
         age_s = self.site.freshness.age(clock.now())
-        left_s = self.site.greatest_age_s * _PROOF_SHARE - age_s
+        remaining_s = self.site.greatest_age_s * _CONFIRMATION_AGE_SHARE - age_s
         bound_s = self.site.settings.config_ms / 1000.0
-        longest_s = min(_OPERATOR_WAIT_S, held_read.compute_max_hold_s(bound_s))
-        return min(longest_s, max(0.0, left_s))
+        max_hold_s = min(
+            _OPERATOR_WAIT_S, held_read.compute_max_hold_s(bound_s)
+        )
+        return min(max_hold_s, max(0.0, remaining_s))
 
-    def _targets_gather_s(self) -> float:
-        """Returns how long to wait for more changes of targets."""
+    def _compute_targets_gather_s(self) -> float:
+        """Returns the delay in which further changes of targets are awaited."""
         return self.site.settings.drain_ms / 1000.0 * _TARGETS_GATHER_SHARE
 
-    def _feed_holds(self) -> held_read.FeedHoldTimes:
+    def _compute_feed_holds(self) -> held_read.FeedHoldTimes:
         return held_read.compute_feed_holds(
             self.site.ready_age_s, self.site.greatest_age_s
         )
 
-    def _take_operator(self, record: topic_copy.TopicRecord) -> None:
+    def _apply_operator_record(self, record: topic_copy.TopicRecord) -> None:
         if not record.value:
             return
         if record.key == configuration.CONFIGURATION_KEY:
@@ -335,33 +355,34 @@
         elif record.key.startswith(configuration.WEIGHTS_KEY_PREFIX):
             self.site.apply_weights_announcement(record.value)
 
-    def _take_target(self, record: topic_copy.TopicRecord) -> None:
+    def _apply_target_record(self, record: topic_copy.TopicRecord) -> None:
         if record.value:
             self.site.put_target(record.key, record.value)
         else:
             self.site.remove_target(record.key, clock.now())
 
-    def _take_host(self, record: topic_copy.TopicRecord) -> None:
+    def _apply_host_record(self, record: topic_copy.TopicRecord) -> None:
         if record.key.startswith(host_registry.QUARANTINE_PREFIX):
             self.quarantine.apply_record(record)
         else:
             self.hosts.apply_host_record(record)
 
-    def _store_back(self, now: float, lost_s: float) -> None:
+    def _on_store_back(self, now: float, lost_s: float) -> None:
         self.site.store_back(now, lost_s)
-        # A read that was held over the outage may never be answered.
+        # A read that was held during the outage may never be answered.
         for follower in self.followers.values():
             if follower.plan.topic != configuration.OPERATOR_TOPIC:
                 follower.interrupt()
 
-    def _store_lost(self, reason: str) -> None:
+    def _on_store_lost(self, reason: str) -> None:
         self.site.store_lost(reason)
         self._wake_readers()
-        # It may have been one call only: the others wait until this one knows.
+        # Only one call may have failed. This follower checks whether the store
+        # answers, and the others wait for its result.
         self.followers[configuration.OPERATOR_TOPIC].interrupt()
 
-    def _store_restored(self, before: int, era: int) -> None:
-        """Has all topics read anew; what they lack is trusted for a while."""
+    def _on_store_restored(self, before: int, era: int) -> None:
+        """Rereads all topics; targets that they lack are kept for a while."""
         self.site.targets.store_restored(clock.now())
         self.rollout.lease.store_restored(era)
         for follower in self.followers.values():
@@ -381,21 +402,21 @@
             },
         )
 
-    def _write_again(self, keys: list[str]) -> None:
-        """Has hosts write again what a restored store has lost of theirs."""
-        self.tasks.start_soon(self.hosts.register_again, self._listed_entry)
+    def _rewrite_lost_records(self, keys: list[str]) -> None:
+        """Rewrites records of this host that a restored store has lost."""
+        self.tasks.start_soon(self.hosts.register_again, self._find_own_entry)
         for key in keys:
             if key.startswith(host_registry.QUARANTINE_PREFIX):
-                self.quarantine.restore_record(key, self._is_lost)
+                self.quarantine.restore_record(key, self._is_lost_record)
 
-    def _listed_entry(self) -> bytes:
+    def _find_own_entry(self) -> bytes:
         """Returns this host's entry in the store; empty if it has none."""
         record = self._hosts_copy().newest.get(self.site.settings.host)
         if record is None or record.position.offset < 0:
             return b""
         return record.value
 
-    def _is_lost(self, key: str) -> bool:
+    def _is_lost_record(self, key: str) -> bool:
         """Returns whether a restored store still lacks a record."""
         record = self._hosts_copy().newest.get(key)
         return record is not None and record.position.offset < 0
@@ -404,22 +425,22 @@
         return self.followers[host_registry.HOSTS_TOPIC].copy
 
     def _wake_readers(self) -> None:
-        """Has hosts that read from this one told that it hears no more."""
+        """Notifies hosts that read from this one that it has lost the store."""
         for follower in self.followers.values():
             follower.wake()
 
-    def _suspect_reads(self, since: float) -> None:
-        """Has reads sent anew that are held since before one was lost."""
+    def _resend_held_reads(self, since: float) -> None:
+        """Resends reads that were already held when another one was lost."""
         for follower in self.followers.values():
             follower.interrupt(since)
 
-    def _close_idle(self, address: str) -> None:
+    def _close_idle_connections(self, address: str) -> None:
         self.tasks.start_soon(self.pool.drop, address)
 
     async def _tick(self) -> None:
-        """Does what is due with time, and notes changes of readiness."""
+        """Expires targets, updates metrics and logs changes of readiness."""
         ready = None
-        status_at = clock.now() + _STATUS_S
+        status_at = clock.now() + _STATUS_INTERVAL_S
         while True:
             now = clock.now()
             self.site.expire_targets(now)
@@ -436,24 +457,24 @@
                 )
             self.metrics.ready.set(not reason)
             self.metrics.suspects.set(self.site.quarantine.suspect_count)
-            self._count_unavailable(now)
+            self._update_unavailable_metrics(now)
             self.metrics.store_age.set(self.site.freshness.age(now))
             self.metrics.connections.set(self.pool.opened.total())
             if now >= status_at:
-                status_at = now + _STATUS_S
-                self._tell_status(now)
-            await anyio.sleep(_TICK_S)
-
-    def _count_unavailable(self, now: float) -> None:
-        """Notes how many targets leave or back off."""
-        statuses = self.site.unavailable_targets(now)
-        self.metrics.leaving.set(sum(each.is_leaving for each in statuses))
+                status_at = now + _STATUS_INTERVAL_S
+                self._log_status(now)
+            await anyio.sleep(_TICK_INTERVAL_S)
+
+    def _update_unavailable_metrics(self, now: float) -> None:
+        """Sets the numbers of targets that leave or back off."""
+        unavailable = self.site.unavailable_targets(now)
+        self.metrics.leaving.set(sum(each.is_leaving for each in unavailable))
         self.metrics.backing_off.set(
-            sum(each.backoff_s > 0.0 for each in statuses)
+            sum(each.backoff_s > 0.0 for each in unavailable)
         )
 
-    def _tell_status(self, now: float) -> None:
-        """Logs how the host is doing."""
+    def _log_status(self, now: float) -> None:
+        """Logs the state of the host."""
         _logger.info(
             "status",
             extra={
--- a/hillthread/coordination/gateway/metrics.py
+++ b/hillthread/coordination/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway counts: counters first, histograms by tenant and class."""
+"""The metrics of a gateway: counters, gauges and histograms."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class GatewayMetrics(metric_set.MetricSet):
-    """Everything a gateway counts."""
+    """All metrics of a gateway."""
 
     def __init__(self):
         super().__init__(_SECONDS)
@@ -29,13 +29,15 @@
             "retries", "Attempts after the first, by reason.", ["reason"]
         )
         self.quarantined = self.counter(
-            "quarantined", "Requests held since targets ended under them.", []
+            "quarantined",
+            "Requests quarantined because targets crashed under them.",
+            [],
         )
         self.suspects = self.gauge(
-            "suspects", "Requests under which targets ended."
+            "suspects", "Requests under which targets crashed."
         )
         self.limited_targets = self.gauge(
-            "targets_limited", "Targets that named a limit of requests."
+            "targets_limited", "Targets that announced a limit of requests."
         )
         self.limit_skips = self.counter(
             "limit_passes",
@@ -44,16 +46,16 @@
         )
         self.quota_refused = self.counter(
             "quota_refused",
-            "Requests refused because a tenant had used up its quota.",
+            "Requests refused because a tenant's quota was exhausted.",
             ["tenant"],
         )
         self.resumes = self.counter("resumes", "Streams resumed.", [])
         self.mismatches = self.counter(
-            "mismatches", "Answers of targets refused by a check.", ["check"]
+            "mismatches", "Answers of targets that failed a check.", ["check"]
         )
         self.unknown_headers = self.counter(
             "unknown_headers",
-            "Headers of targets' answers that mean nothing here.",
+            "Unknown headers in answers of targets.",
             ["header"],
         )
         self.bad_requests = self.counter(
@@ -67,25 +69,25 @@
         )
         self.orders = self.counter("orders", "Orders given.", ["outcome"])
         self.loads = self.counter(
-            "loads", "Loads of weights, by how they ended.", ["outcome"]
+            "loads", "Loads of weights, by outcome.", ["outcome"]
         )
         self.outdated_weights_choices = self.counter(
             "old_weights_choices",
-            "Targets chosen with older weights than named, by grace.",
+            "Targets chosen with outdated weights, by grace.",
             ["grace"],
         )
         self.outdated_targets = self.gauge(
-            "targets_behind", "Targets with older weights than named."
+            "targets_behind", "Targets with outdated weights."
         )
         self.connections = self.gauge(
             "target_connections_opened", "Connections opened to targets."
         )
         self.inflight = self.gauge("inflight", "Requests being served.")
         self.configuration_version = self.gauge(
-            "configuration_version", "Configuration in force."
+            "configuration_version", "Version of the configuration in force."
         )
         self.store_age = self.gauge(
-            "store_age_seconds", "Seconds since the last proven read."
+            "store_age_seconds", "Seconds since the last confirmed read."
         )
         self.store_era = self.gauge(
             "store_era", "Era of the store, once it has been restored."
@@ -95,7 +97,7 @@
             "targets_leaving", "Listed targets that announced a departure."
         )
         self.backing_off = self.gauge(
-            "targets_backing_off", "Targets that want no request for a while."
+            "targets_backing_off", "Targets that shed load and request a pause."
         )
         self.ready = self.gauge("ready", "Whether the host is ready.")
         self.holds_lease = self.gauge(
@@ -117,7 +119,7 @@
         self._labels = metric_set.BoundedLabels()
 
     def count_quota_refusal(self, tenant: str) -> None:
-        """Counts a request that its tenant's quota did not allow."""
+        """Counts a request that was refused by its tenant's quota."""
         if not self._labels.admit((tenant, "")):
             tenant = metric_set.OTHER
         self.quota_refused.labels(tenant).inc()
@@ -125,13 +127,13 @@
     def observe_first_byte(
         self, tenant: str, route: str, seconds: float
     ) -> None:
-        """Notes the time to a first byte."""
+        """Records the time to a first byte."""
         if not self._labels.admit((tenant, route)):
             tenant = route = metric_set.OTHER
         self.first_byte.labels(tenant, route).observe(seconds)
 
     def observe_answer_time(self, route: str, seconds: float) -> None:
-        """Notes the time to a whole answer."""
+        """Records the time to the end of an answer."""
         if not self._labels.admit(("", route)):
             route = metric_set.OTHER
         self.answer_time.labels(route).observe(seconds)
@@ -141,12 +143,12 @@
         return _totals(self.choices)
 
     def count_store_calls(self) -> dict[str, int]:
-        """Returns how many reads followed each topic so far, by outcome."""
+        """Returns the number of reads of each topic so far, by outcome."""
         return _totals(self.store_calls)
 
 
 def _totals(counter: prometheus_client.Counter) -> dict[str, int]:
-    """Returns a counter's values, by its labels in words."""
+    """Returns a counter's values, by its label values joined by spaces."""
     return {
         " ".join(sample.labels.values()): int(sample.value)
         for metric in counter.collect()
--- a/hillthread/coordination/gateway/settings.py
+++ b/hillthread/coordination/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway, in the product's own form."""
+"""The settings of the gateway."""
 
 from __future__ import annotations
 
@@ -16,42 +16,44 @@
 class GatewaySettings(settings_lib.SettingsStruct, frozen=True, kw_only=True):
     """Settings of `hillthread-gateway`.
 
-    The bounds are promises to the platform's operators, in the units in which
-    the platform tells them.
+    The bounds are guarantees to the platform's operators, in the units in which
+    the platform states them.
 
     Attributes:
-        host: This host's name, unique.
-        data_centre: Where it runs.
-        listen: Where callers connect.
-        ready_listen: Where the balancer asks whether the host is ready.
+        host: This host's unique name.
+        data_centre: Data centre of this host.
+        listen: Address on which callers connect.
+        ready_listen: Address on which the balancer checks readiness.
         store: Address of the platform's store.
-        drain_ms: After a target was seen leaving, no work may reach it later.
-        grace_s: After SIGTERM the process is killed this much later.
-        revoke_ms: A withdrawn key must not be served later than this, also
-            when the store cannot be reached.
-        fail_closed: Whether requests with keys are refused when what is known
+        drain_ms: Time after a target was seen leaving until no work may reach
+            it any more.
+        grace_s: Time from SIGTERM until the process is killed.
+        revoke_ms: Time after which a withdrawn key must not be served any more,
+            also when the store cannot be reached.
+        fail_closed: Whether requests with keys are refused when the knowledge
             of keys is older than that.
-        config_ms: A new configuration must be in force this long after the
-            store took it.
-        lease_ms: Pause between the orders of two holders.
-        version_ms: Nothing may start on older weights later than this after
-            newer ones were named.
+        config_ms: Time from when the store accepted a new configuration until
+            it must be in force.
+        lease_ms: Pause between the orders of two holders of the lease.
+        version_ms: Time after the announcement of new weights until no request
+            may start on older ones any more.
         retry_ratio: Retries, as a share of requests, of all hosts together.
         retry_extra: Retries beyond that in a window, of all hosts together.
         retry_window_s: Length of that window.
-        quota_window_s: Quotas of organisations are judged over any span of
-            this length.
-        quota_over: What hosts may let through beyond a quota, as a share of
-            what it allows in a window, since they learn late of each other.
+        quota_window_s: Length of the windows over which the quotas of
+            organisations are enforced; a window may begin at any time.
+        quota_over: What hosts may admit beyond a quota, as a share of what it
+            allows in a window, since they learn late of each other's use.
         quota_slack: The same, in units of the quota.
-        memory_mb: The process may use this much.
-        link_mbps: What the host's link carries; 0 when not known. Hosts with
-            fast links do what is done for all others.
-        feed_port: Where other hosts of the data centre are answered, on the
-            host's own address.
-        metrics_port: Where metrics are served, on the host's own address.
-        log_requests_per_s: Ordinary requests logged in a second, of up to 24
-            hosts; more hosts share what these would log.
+        memory_mb: Memory that the process may use.
+        link_mbps: Capacity of the host's link; 0 when not known. Hosts with
+            fast links do the work that one host does for all others.
+        feed_port: Port, on the host's own address, on which other hosts of the
+            data centre connect.
+        metrics_port: Port, on the host's own address, on which metrics are
+            served.
+        log_requests_per_s: Ordinary requests that each of up to 24 hosts logs
+            per second; more hosts share what 24 would log.
     """
 
     host: str
--- a/hillthread/coordination/gateway/settings_watch.py
+++ b/hillthread/coordination/gateway/settings_watch.py
@@ -1,4 +1,4 @@
-"""Takes over changed settings, at a signal or when their file changes."""
+"""Applies changed settings, at a signal or when their file changes."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 __all__ = ["SettingsWatch"]
 
-_LOOK_EVERY_S = 2.0
-# These are read at the start only.
+_POLL_INTERVAL_S = 2.0
+# Read at the start only: changes need a restart.
 _FIXED_SETTINGS = (
     "host",
     "data_centre",
@@ -31,11 +31,11 @@
 
 
 class SettingsWatch:
-    """Keeps a host's settings those of their file.
+    """Keeps a host's settings equal to those of their file.
 
     Attributes:
-        site: Whose settings are replaced.
-        path: Of the file.
+        site: State of the host whose settings are replaced.
+        path: Path of the settings file.
     """
 
     def __init__(self, site: site_lib.Site, path: str):
@@ -43,29 +43,30 @@
         self.path = path
 
     async def run(self) -> None:
-        """Reads the settings again when their file changes."""
-        file = pathlib.Path(self.path)  # a look takes microseconds, no thread
-        # The first look reads the file: it may have changed since the start.
-        changed_at = 0
+        """Reloads the settings when their file changes."""
+        file = pathlib.Path(self.path)  # stat takes microseconds: no thread
+        # The first check always reloads: the file may have changed since the
+        # settings were read.
+        last_modified_ns = 0
         while True:
-            await anyio.sleep(_LOOK_EVERY_S)
+            await anyio.sleep(_POLL_INTERVAL_S)
             try:
-                found = file.stat().st_mtime_ns  # noqa: ASYNC240
+                modified_ns = file.stat().st_mtime_ns  # noqa: ASYNC240
             except OSError:
-                continue  # it is being replaced; the next look finds it
-            if found != changed_at:
-                changed_at = found
+                continue  # it is being replaced; the next check finds it
+            if modified_ns != last_modified_ns:
+                last_modified_ns = modified_ns
                 self.reload()
 
     def reload(self) -> None:
-        """Takes over changed settings; wrong ones change nothing."""
+        """Applies changed settings; invalid ones change nothing."""
         try:
             loaded = settings_lib.load_settings(
                 self.path, gateway_settings.GatewaySettings
             )
         except errors.SettingsError as error:
             _logger.error(
-                "settings not taken over",
+                "settings rejected",
                 extra={"event": "reload_failed", "reason": str(error)},
             )
             return
@@ -79,6 +80,6 @@
         ]
         self.site.apply_settings(loaded)
         _logger.info(
-            "settings taken over",
+            "settings applied",
             extra={"event": "reload", "need_a_restart": fixed},
         )
--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -1,4 +1,4 @@
-"""What one host believes: configuration, targets, weights, and their age."""
+"""A host's view of the configuration, targets and weights, and its age."""
 
 from __future__ import annotations
 
@@ -20,36 +20,43 @@
 
 __all__ = ["Site"]
 
-# Keyed requests are refused this much before knowledge of keys is too old.
+# Requests with keys are refused this long before the knowledge of keys exceeds
+# its permitted age.
 _REVOKE_MARGIN_S = 0.8
-# Of its full age; the host then asks the balancer to send callers elsewhere.
+# Share of the permitted age above which the host reports that it is not ready,
+# so that the balancer sends callers elsewhere.
 _READY_SHARE = 0.6
-# A process that has just started knows the configuration within 0.1 s of its
-# first call when the store answers; a request that comes before waits for it.
-_FIRST_MOMENTS_S = 0.5
-# Hosts to share a budget with, until they are counted; rather too many.
+# When the store answers, a process receives the configuration within 0.1 s of
+# its first call. Requests that arrive earlier wait for it up to this time.
+_STARTUP_WAIT_S = 0.5
+# Number of hosts that share a budget, until they are counted. It is rather too
+# high, so that each host's share is not too large.
 DEFAULT_CLUSTER_SIZE = 24
 
 _logger = logging.getLogger("hillthread.site")
 
 
 class Site(target_beliefs.TargetBeliefs):
-    """Beliefs of one host: of targets, what the operator wrote, and its age.
+    """A host's view of its targets and of what the operator wrote.
 
     Attributes:
-        settings: Of this host; replaced when the file changes.
+        settings: Settings of this host; replaced when their file changes.
         configuration: The configuration in force, or None before the first.
-        freshness: Age of what is known from the operator.
+        freshness: Age of the data from the operator.
+        targets_known: Whether the whole list of targets was read.
         started_at: Seconds, when this process began to serve.
         wait_over: Set, and replaced, when requests need not wait any longer
             for the first configuration and targets.
-        is_store_lost: The store was not read since a read failed.
-        hosts: Hosts that share the budgets, this one included.
-        neighbours: Other hosts in this host's data centre.
-        draining: The process is stopping.
-        closing: It is about to end: a new request could not be finished.
-        weights_named: Set, and replaced, when new weights are named.
-        quarantine: Requests under which targets ended.
+        is_store_lost: No read of the store succeeded since one failed.
+        cluster_size: Number of hosts that share the budgets, this one
+            included.
+        neighbour_count: Number of other hosts in this host's data centre.
+        is_draining: The process is stopping.
+        is_closing: The process is about to exit, so that a new request could
+            not be finished.
+        weights_announced: Set, and replaced, when new weights are announced.
+        quarantine: Requests under which targets crashed.
+        budgets: Retry budgets by pool.
     """
 
     def __init__(
@@ -75,105 +82,106 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: settings_lib.GatewaySettings) -> None:
-        """Puts settings in force, at the start and when they change."""
+        """Applies settings at the start and when they change."""
         self.settings = settings
         self.targets.max_missing_s = settings.drain_ms / 1000.0 * _READY_SHARE
         self.weights.limit_s = settings.version_ms / 1000.0
 
     @property
     def bounds(self) -> caller_bounds.CallerBounds:
-        """Bounds on callers in force."""
+        """The bounds on callers that are in force."""
         if self.configuration is None:
             return caller_bounds.CallerBounds()
         return self.configuration.bounds
 
     def apply_configuration(self, payload: bytes) -> None:
-        """Puts a newer configuration in force; an older one is passed over.
+        """Applies a newer configuration; an older one is ignored.
 
         Raises:
-            ConfigurationError: It is unreadable; the one in force stays.
+            ConfigurationError: It is unreadable; the current one stays in
+                force.
         """
-        adopted = configuration_lib.decode_configuration(payload)
+        received = configuration_lib.decode_configuration(payload)
         before = self.configuration
-        if before is not None and adopted.version <= before.version:
+        if before is not None and received.version <= before.version:
             return
-        self.table = adopted.build_routing_table()
-        self.configuration = adopted
-        self._note_known()
-        self.metrics.configuration_version.set(adopted.version)
+        self.table = received.build_routing_table()
+        self.configuration = received
+        self._release_if_routable()
+        self.metrics.configuration_version.set(received.version)
         _logger.info(
-            "configuration in force",
+            "configuration applied",
             extra={
                 "event": "configuration",
-                "version": adopted.version,
+                "version": received.version,
                 "before": before.version if before else None,
-                "objects": len(adopted.decoded),
+                "objects": len(received.decoded),
             },
         )
 
     def apply_weights_announcement(self, payload: bytes) -> None:
-        """Takes in newly named weights.
+        """Applies an announcement of new weights.
 
-        They were named after the last read that proves something: this host
-        may learn of them late, or find them when it starts.
+        They were announced after the last confirmed read: this host may learn
+        of them late, or find them when it starts.
 
         Raises:
             ConfigurationError: The record is unreadable.
         """
-        named = configuration_lib.decode_weights(payload)
+        announced = configuration_lib.decode_weights(payload)
         now = clock.now()
         not_before = self.freshness.known_until
         if self.weights.record_announcement(
-            named.model, named.version, now, not_before
+            announced.model, announced.version, now, not_before
         ):
             self.weights_announced.set()
             self.weights_announced = anyio.Event()
             _logger.info(
-                "weights named",
+                "weights announced",
                 extra={
                     "event": "weights_named",
-                    "model": named.model,
-                    "version": named.version,
+                    "model": announced.model,
+                    "version": announced.version,
                     "store_age_s": self.rounded_age_s(now),
                 },
             )
 
     def mark_targets_known(self) -> None:
-        """Notes that the whole list of targets was read."""
+        """Records that the whole list of targets was read."""
         self.targets_known = True
-        self._note_known()
+        self._release_if_routable()
 
-    def _note_known(self) -> None:
+    def _release_if_routable(self) -> None:
         if self.can_route:
             self.release_waiting()
 
     def release_waiting(self) -> None:
-        """Has requests that wait for the configuration served or refused."""
+        """Releases requests that wait for the configuration and targets."""
         self.wait_over.set()
         self.wait_over = anyio.Event()
 
     @property
     def can_route(self) -> bool:
-        """Whether requests can be routed at all."""
+        """Whether the host has the data that routing requires."""
         return self.table is not None and self.targets_known
 
     async def wait_until_routable(self, now: float) -> None:
-        """Returns when requests can be routed, or soon will not be.
+        """Waits for the data that routing requires, for a short time.
 
-        A host that cannot reach the store must not hold up its callers: only
-        a process that has just started lets them wait, until the store fails
-        or the first moments are over.
+        A host that cannot reach the store must not delay its callers: only a
+        process that has just started lets them wait, until the store fails or
+        the time for starting is over.
         """
         if self.can_route:
             return
-        left_s = self.started_at + _FIRST_MOMENTS_S - now
-        if left_s <= 0.0 or self.is_store_lost:
+        remaining_s = self.started_at + _STARTUP_WAIT_S - now
+        if remaining_s <= 0.0 or self.is_store_lost:
             return
-        with anyio.move_on_after(left_s):
+        with anyio.move_on_after(remaining_s):
             await self.wait_over.wait()
 
     def budget(self, pool: str) -> retry_budget.RetryBudget:
-        """Returns this host's part of a pool's retry budget."""
+        """Returns this host's share of a pool's retry budget."""
         extra = self.settings.retry_extra / self.cluster_size
         budget = self.budgets.get(pool)
         if budget is None:
@@ -186,7 +194,7 @@
         return budget
 
     def store_lost(self, reason: str) -> None:
-        """Notes that the store cannot be read."""
+        """Records that the store cannot be read."""
         self.is_store_lost = True
         self.targets.store_lost()
         if not self.can_route:
@@ -196,17 +204,17 @@
         )
 
     def store_back(self, now: float, lost_s: float) -> None:
-        """Notes that the store can be read again."""
+        """Records that the store can be read again."""
         self.is_store_lost = False
         self.targets.store_back(now)
         _logger.info(
-            "store back",
+            "store reachable again",
             extra={"event": "store_back", "lost_s": round(lost_s, 3)},
         )
 
     @property
     def greatest_age_s(self) -> float:
-        """The age up to which knowledge of keys is used, seconds."""
+        """The age up to which the knowledge of keys is used, seconds."""
         return self.settings.revoke_ms / 1000.0 - _REVOKE_MARGIN_S
 
     @property
@@ -215,21 +223,21 @@
         return self.settings.revoke_ms / 1000.0 * _READY_SHARE
 
     def rounded_age_s(self, now: float) -> float | None:
-        """Returns the age of what is known, for a log line; None before.
+        """Returns the age of the operator's data; None before the first read.
 
-        Logs are JSON, which has no number for what was never read.
+        It is for log lines: they are JSON, which cannot express infinity.
         """
         age_s = self.freshness.age(now)
         return round(age_s, 3) if math.isfinite(age_s) else None
 
     def may_serve_keys(self, now: float) -> bool:
-        """Returns whether what is known of keys is recent enough."""
+        """Returns whether the knowledge of keys is recent enough to serve."""
         if not self.settings.fail_closed:
             return self.table is not None
         return self.freshness.age(now) <= self.greatest_age_s
 
     def not_ready_reason(self, now: float) -> str:
-        """Returns why callers should be sent elsewhere; empty when ready."""
+        """Returns why the host is not ready; empty when it is ready."""
         if self.is_draining:
             return "stopping"
         if self.table is None:
@@ -241,7 +249,7 @@
         return ""
 
     def unready_s(self, now: float) -> float:
-        """Returns for how long the store has been away for too long."""
+        """Returns by how long the operator's data exceeds its ready age."""
         if not self.settings.fail_closed:
             return 0.0
         return max(0.0, self.freshness.age(now) - self.ready_age_s)
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -1,4 +1,4 @@
-"""What one host believes of targets: which there are, and what they told."""
+"""A host's view of its targets: the list, and what each has reported."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 __all__ = ["TargetBeliefs", "TargetStatus"]
 
-# After an outage entries of live targets are back within this time, as the
-# platform promises.
-_RETURN_S = 2.0
+# The platform guarantees that entries of live targets are back within this time
+# after an outage.
+_ENTRY_RETURN_S = 2.0
 
 _logger = logging.getLogger("hillthread.site")
 
 
 class TargetStatus(NamedTuple):
-    """Why a listed target gets no new work, for operators.
+    """Why a listed target gets no new work, as shown to operators.
 
     Attributes:
-        target: Its name.
+        target: Name of the target.
         is_leaving: It announced its departure.
         backoff_s: Seconds for which it still wants no request from this host.
     """
@@ -42,102 +42,105 @@
 
 
 class TargetBeliefs:
-    """Targets, and what was learned of each since it started.
+    """The targets, and what is known of each since its last start.
 
     Attributes:
-        metrics: What is counted.
-        table: The routing table in force, or None.
-        targets: Which targets there are.
-        states: What own attempts found, by target.
-        backoffs: Which targets shed load and want no request for a while.
-        weights: Versions of weights.
-        load_told_at: Seconds, when another host last told of a load.
-        target_gone: Called with the address of each target that gets no new
-            work any more.
-        target_forgotten: Called with the name of each target of which nothing
-            holds any more.
-        target_ended: Called with the name of each target that is gone or has
-            started again under it, or whose address another one has, and with
-            what shows it.
+        metrics: The gateway's metrics.
+        table: The routing table in force, or None before the first.
+        targets: The listed targets.
+        states: What this host's own attempts found, by target.
+        backoffs: Targets that shed load and request a pause.
+        weights: Versions of weights: announced, and held by targets.
+        last_load_notice_at: Seconds, when another host last sent a notice of a
+            load of weights.
+        on_target_withdrawn: Called with the address of each target that gets
+            no more new work.
+        on_target_forgotten: Called with the name of each target whose state is
+            discarded.
+        on_target_terminated: Called with the name of each target that was
+            removed, has restarted under this name, or whose address another
+            target has; the second argument is the evidence.
     """
 
     def __init__(self, metrics: metrics_lib.GatewayMetrics):
         self.metrics = metrics
         self.table: routing_table.RoutingTable | None = None
-        self.targets = target_list.TargetList(_RETURN_S)
+        self.targets = target_list.TargetList(_ENTRY_RETURN_S)
         self.states: dict[str, target_state.TargetState] = {}
         self.backoffs = backoffs.Backoffs()
         self.weights = weights.WeightsTracker()
         self.last_load_notice_at = float("-inf")
-        self.on_target_withdrawn: Callable[[str], None] = _ignore
-        self.on_target_forgotten: Callable[[str], None] = _ignore
-        self.on_target_terminated: Callable[[str, str], None] = _ignore_end
+        self.on_target_withdrawn: Callable[[str], None] = _ignore_target
+        self.on_target_forgotten: Callable[[str], None] = _ignore_target
+        self.on_target_terminated: Callable[[str, str], None] = (
+            _ignore_termination
+        )
 
     def put_target(self, incarnation: str, payload: bytes) -> None:
-        """Takes in an entry of the list of targets.
+        """Applies an entry of the list of targets.
 
         Raises:
-            ConfigurationError: It is unreadable, or another writer's; it names
-                no target, also where one was listed.
+            ConfigurationError: The entry is unreadable or was written by
+                another program. A target that was listed under its name is
+                withdrawn.
         """
         before = self.targets.entries.get(incarnation)
         try:
             entry = targets_lib.decode_entry(incarnation, payload)
             if entry.born_ms == 0 and incarnation in self.targets.born_ms:
                 raise errors.ConfigurationError(
-                    f"The entry of target {incarnation!r} tells no start.",
-                    "Check what wrote the entry; it names no target.",
+                    f"The entry of target {incarnation!r} has no start time.",
+                    "Check what wrote the entry; its target is not used.",
                 )
         except errors.ConfigurationError:
             change = self.targets.withdraw(incarnation)
-            self._note_removal(incarnation, change, before)
+            self._record_removal(incarnation, change, before)
             raise
         if self.targets.is_earlier_incarnation(incarnation, entry.born_ms):
             return
         change = self.targets.put(entry)
         if change is target_list.TargetChange.RESTARTED and before is not None:
-            self._forget_start(incarnation, before.target.address)
+            self._forget_incarnation(incarnation, before.target.address)
         if change is target_list.TargetChange.ADDED:
-            self._note_successor(entry)
+            self._record_address_reuse(entry)
         for model, version in entry.weights.items():
             self.weights.update_from_list(incarnation, model, version)
-        self._note_target(incarnation, change)
+        self._record_change(incarnation, change)
 
     def remove_target(self, incarnation: str, now: float) -> None:
-        """Notes that an entry is missing from the list."""
+        """Records that an entry is missing from the list."""
         entry = self.targets.entries.get(incarnation)
         change = self.targets.remove(incarnation, now)
-        self._note_removal(incarnation, change, entry)
+        self._record_removal(incarnation, change, entry)
 
     def expire_targets(self, now: float) -> None:
-        """Drops targets whose entries stayed missing after an outage."""
+        """Removes targets whose entries stayed missing after an outage."""
         before = dict(self.targets.entries)
         for name in self.targets.expire(now):
             gone = target_list.TargetChange.GONE
-            self._note_removal(name, gone, before[name])
+            self._record_removal(name, gone, before[name])
 
     def mark_leaving(self, name: str, source: str) -> bool:
         """Excludes a target that announced its departure from new work.
 
         Args:
-            name: Its name.
-            source: Who announced it, for the log.
+            name: Name of the target.
+            source: Where the announcement came from, for the log.
 
         Returns:
-            Whether that is news.
+            Whether the departure was not known before.
         """
         if not self.targets.mark_leaving(name):
             return False
-        self._note_target(name, target_list.TargetChange.LEAVING, source)
+        self._record_change(name, target_list.TargetChange.LEAVING, source)
         entry = self.targets.entries.get(name)
         if entry is not None:
-            self.on_target_withdrawn(
-                entry.target.address
-            )  # idle connections only
+            # Closes idle connections only.
+            self.on_target_withdrawn(entry.target.address)
         return True
 
     def request_backoff(self, name: str, seconds: float, now: float) -> None:
-        """Sends a target nothing for the time for which it sheds load."""
+        """Excludes a target from work for the time for which it sheds load."""
         if not self.backoffs.apply(name, seconds, now):
             return
         _logger.info(
@@ -162,7 +165,7 @@
     def observe_weights(
         self, incarnation: str, model: str, version: int
     ) -> None:
-        """Takes in the weights version that a target said it holds."""
+        """Applies the version of weights that a target says it holds."""
         if self.weights.update_from_answer(incarnation, model, version):
             self.state(incarnation).warm.clear()
             _logger.info(
@@ -178,11 +181,11 @@
     def apply_report(
         self, name: str, model: str, report: targets_lib.EngineReport
     ) -> bool:
-        """Takes in the weights that an engine reports of itself.
+        """Applies the weights that an engine reports of itself.
 
         Returns:
-            Whether it is word of the engine's last start; if not, it is passed
-            over.
+            Whether the report is of the engine's last start; a report of an
+            earlier one is ignored.
         """
         if self.targets.is_earlier_incarnation(name, report.born_ms):
             return False
@@ -191,8 +194,8 @@
             self.targets.record_start(name, report.born_ms)
             and entry is not None
         ):
-            self._forget_start(name, entry.target.address)
-            self._note_target(
+            self._forget_incarnation(name, entry.target.address)
+            self._record_change(
                 name, target_list.TargetChange.RESTARTED, "report"
             )
         if report.is_leaving:
@@ -204,21 +207,21 @@
     def apply_work_notice(
         self, notice: work_notice.WorkNotice, now: float
     ) -> None:
-        """Takes in that another host sends work to an engine."""
+        """Applies a notice that another host sends work to an engine."""
         name = self.targets.name_of(notice.engine)
         if name is None:
-            return  # not listed here yet, gone, or of an earlier start
+            return  # not listed yet, removed, or of an earlier start
         self.state(name).load.add_peer_prefill(notice.tokens, now)
         self.record_prompt(name, notice)
 
     def apply_weights_notice(
         self, notice: work_notice.WeightsNotice, now: float
     ) -> None:
-        """Takes in that an engine loads weights, or holds them now."""
+        """Applies a notice that an engine loads weights, or now holds them."""
         self.last_load_notice_at = now
         name = self.targets.name_of(notice.engine)
         if name is None:
-            return  # not listed here yet, gone, or of an earlier start
+            return  # not listed yet, removed, or of an earlier start
         state = self.state(name)
         if notice.loading:
             state.begin_load(now)
@@ -227,16 +230,16 @@
         self.observe_weights(name, notice.model, notice.version)
 
     def record_prompt(self, name: str, notice: work_notice.WorkNotice) -> None:
-        """Notes that an engine keeps a prompt that is sent to it."""
+        """Records that an engine caches a prompt that is sent to it."""
         self.state(name).warm.add_prompt(
             notice.scope,
             notice.shared,
             notice.own_tokens,
-            self._engine_memory(name),
+            self._get_cache_tokens(name),
         )
 
-    def _engine_memory(self, target: str) -> int:
-        """Returns how many tokens an engine keeps; 0 when not known."""
+    def _get_cache_tokens(self, target: str) -> int:
+        """Returns how many tokens an engine can cache; 0 when not known."""
         entry = self.targets.entries.get(target)
         if self.table is None or entry is None:
             return 0
@@ -245,7 +248,7 @@
         return pool.cache_tokens if pool else 0
 
     def weights_status(self, now: float) -> dict[str, object]:
-        """Returns what is known of weights, for a log line."""
+        """Returns announced and outdated weights, for a log line."""
         lags = self.weights.lags(now)
         self.metrics.outdated_targets.set(len(lags))
         return {
@@ -263,13 +266,13 @@
         }
 
     def state(self, target: str) -> target_state.TargetState:
-        """Returns what own attempts found of a target."""
+        """Returns what this host's own attempts found of a target."""
         found = self.states.get(target)
         if found is None:
             found = self.states[target] = target_state.TargetState()
         return found
 
-    def _note_target(
+    def _record_change(
         self,
         name: str,
         change: target_list.TargetChange,
@@ -290,27 +293,27 @@
             },
         )
 
-    def _note_removal(
+    def _record_removal(
         self,
         name: str,
         change: target_list.TargetChange,
         entry: target_list.ListedTarget | None,
     ) -> None:
-        """Notes what became of a target that the list names no more."""
-        self._note_target(name, change)
+        """Records the removal of a target from the list."""
+        self._record_change(name, change)
         if change is target_list.TargetChange.GONE and entry is not None:
             self._forget(name, entry.target.address)
             self.on_target_terminated(name, "it is not listed any more")
 
-    def _note_successor(self, entry: target_list.ListedTarget) -> None:
-        """Notes that whoever had the address of a new target has ended."""
+    def _record_address_reuse(self, entry: target_list.ListedTarget) -> None:
+        """Records that targets whose address a new one has are terminated."""
         for name, other in self.targets.entries.items():
             is_other = name != entry.target.name
             if is_other and other.target.address == entry.target.address:
                 self.on_target_terminated(name, "another has its address")
 
-    def _forget_start(self, name: str, address: str) -> None:
-        """Forgets what held for the earlier start of a target."""
+    def _forget_incarnation(self, name: str, address: str) -> None:
+        """Discards the state of a target's earlier start."""
         self.backoffs.forget(name)
         self._forget(name, address)
         self.on_target_terminated(name, "it started again")
@@ -330,11 +333,11 @@
         ]
 
 
-def _ignore(target: str) -> None:
-    """Stands for nobody who wants to know of targets that are gone."""
+def _ignore_target(target: str) -> None:
+    """Default of the callbacks that take the name or address of a target."""
     del target
 
 
-def _ignore_end(target: str, evidence: str) -> None:
-    """Stands for nobody who wants to know of targets that end."""
+def _ignore_termination(target: str, evidence: str) -> None:
+    """Default of `on_target_terminated`."""
     del target, evidence
--- a/tests/coordination/gateway/test_settings_watch.py
+++ b/tests/coordination/gateway/test_settings_watch.py
@@ -56,6 +56,6 @@
                         await anyio.sleep(0.01)
                     tasks.cancel_scope.cancel()
 
-        with mock.patch.object(settings_watch, "_LOOK_EVERY_S", 0.02):
+        with mock.patch.object(settings_watch, "_POLL_INTERVAL_S", 0.02):
             anyio.run(watch)
         self.assertEqual(self.site.settings.drain_ms, 1_000)
