--- a/tests/coordination/gateway/scene.py
+++ b/tests/coordination/gateway/scene.py
@@ -1,4 +1,4 @@
-"""A whole site in one process: store, targets, a gateway, callers."""
+"""A whole deployment in one process: store, targets, a gateway, callers."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 KEY = "key-one"
 HOST = b"callers.example"
-_WAIT_S = 5.0
-# Hosts of a scene that start together list themselves within this time.
+_WAIT_TIMEOUT_S = 5.0
+# Hosts of a scene that start together register in the store within this time.
 _HOSTS_GATHER_S = 0.05
 
 
 def route(name, prefix, kind, service, **extra):
-    """Returns a route as the operator writes it."""
+    """Returns a route in the format of the operator's configuration."""
     return {
         "name": name,
         "host": HOST.decode(),
@@ -42,14 +42,16 @@
 
 
 class Scene:
-    """What a test acts on.
+    """The store, targets and gateway of a test.
 
     Attributes:
-        store: The stand-in of the store.
-        store_link: The link to it of a gateway that is started `linked`.
-        engines: Targets of the service `engines`, model `m`.
+        store: The stand-in for the store.
+        store_link: The proxy through which a gateway that is started `linked`
+            reaches the store.
+        engines: Targets of the service `engines`, with the model `m`.
         plain: Targets of the service `plain`.
-        program: The gateway.
+        program: The gateway host.
+        scopes: Cancel scopes of the running stand-ins, by name.
     """
 
     def __init__(self, tasks, engines: int, plain: int):
@@ -92,7 +94,7 @@
                 {"name": "tenant-two", "apiKeys": ["key-two"]},
             ],
         }
-        self.log = tempfile.TemporaryFile()  # noqa: SIM115 (lives as long)
+        self.log = tempfile.TemporaryFile()  # noqa: SIM115 (kept open)
         self.pool = http1_client.ConnectionPool(1.0)
         self.ids = itertools.count()
         self.program = None
@@ -105,35 +107,35 @@
 
     @property
     def site(self):
-        """The gateway's beliefs."""
+        """The gateway's view of its targets and of the operator's data."""
         return self.program.site
 
     def configure(self, **changes) -> None:
-        """Has the operator write the next version of the configuration."""
+        """Writes the operator's next version of the configuration."""
         self.configuration |= changes
         self.version += 1
         self.configuration["version"] = self.version
         self.store.put("keyed.op", "config", self.configuration)
 
     def announce_weights(self, version) -> None:
-        """Has the operator name new weights of the model."""
+        """Writes the operator's announcement of new weights of the model."""
         named = {"model": "m", "version": version}
         self.store.put("keyed.op", "version/m", named)
 
     def list_target(self, target, state="ready") -> None:
-        """Has a target write its entry."""
+        """Writes a target's entry in the list of targets."""
         self.store.put("keyed.servers", target.name, target.entry(state))
 
     async def start(
         self, ready=True, before=None, linked=False, **settings
     ) -> None:
-        """Starts everything and, if asked, waits until the gateway is ready.
+        """Starts the store, the targets and the gateway.
 
         Args:
-            ready: Whether to wait.
+            ready: Whether to wait until the gateway is ready.
             before: Called with the scene when only the store is running.
-            linked: Whether the gateway reaches the store over a link.
-            **settings: Of the gateway.
+            linked: Whether the gateway reaches the store through the proxy.
+            **settings: Settings of the gateway.
         """
         self.tasks.start_soon(self.store.server.serve)
         self.tasks.start_soon(self.store_link.serve)
@@ -160,30 +162,31 @@
         if not ready:
             return
         await self.until(lambda: not self.not_ready_reason())
-        # It counts itself a little later; tests set the count they want.
+        # The gateway counts itself a little later; only after that may tests
+        # set the count.
         await self.until(self.program.hosts_settled.is_set)
 
     async def listen(self, target) -> None:
-        """Has a target accept connections until `stop_listening`."""
+        """Lets a target accept connections until `stop_listening`."""
         with anyio.CancelScope() as self.scopes[target.name]:
             await target.server.serve(self.tasks)
 
     def stop_listening(self, target) -> None:
-        """Has new connections to a target refused; open ones stay."""
+        """Makes a target refuse new connections; open ones stay."""
         self.scopes[target.name].cancel()
 
     def not_ready_reason(self) -> str:
-        """Returns why the gateway is not ready, or nothing."""
+        """Returns why the gateway is not ready; empty when it is ready."""
         return self.site.not_ready_reason(anyio.current_time())
 
     async def until(self, holds) -> None:
-        """Waits until something holds."""
-        with anyio.fail_after(_WAIT_S):
-            while not holds():  # noqa: ASYNC110 (nothing tells of it)
+        """Waits until a condition holds."""
+        with anyio.fail_after(_WAIT_TIMEOUT_S):
+            while not holds():  # noqa: ASYNC110 (no event)
                 await anyio.sleep(0.005)
 
     def request(self, path, body=b"hello", method=b"POST", **headers):
-        """Returns a caller's request with an id of its own."""
+        """Returns a caller's request with a unique id."""
         values = {
             "x-request-id": f"r{next(self.ids)}",
             "authorization": f"Bearer {KEY}",
@@ -222,14 +225,14 @@
 
 
 async def start_cache_stores(scene, count):
-    """Starts stores of KV cache and returns them when they are read."""
+    """Starts KV cache stores; returns them when the gateway knows them."""
     stores = [
         platform_target.PlatformTargetStandin(f"k{n}", f"keep{n}")
         for n in range(count)
     ]
 
     async def listen(store):
-        """Serves until `stop_listening`, which also ends open connections."""
+        """Serves until `stop_listening`, which also closes open connections."""
         with anyio.CancelScope() as scene.scopes[store.name]:
             await store.server.serve()
 
@@ -249,15 +252,15 @@
 
 @contextlib.asynccontextmanager
 async def open_scene(engines=2, plain=2, slow_s=0.0, weights=0, **settings):
-    """Yields a running scene, or what is wrong in it.
+    """Yields a running scene; raises the exception of the test's body as it is.
 
     Args:
-        engines: How many engines there are.
-        plain: How many targets of the plain service.
-        slow_s: Added to every answer of the store.
-        weights: Named before the gateway starts; 0 for none.
-        **settings: Of the gateway; `ready` tells whether to wait for it,
-            `linked` whether it calls the store over the scene's link.
+        engines: Number of engines.
+        plain: Number of targets of the plain service.
+        slow_s: Delay of every answer of the store, seconds.
+        weights: Version of weights that is announced before the gateway
+            starts; 0 for none.
+        **settings: Arguments of `Scene.start` and settings of the gateway.
     """
     failure = None
     async with anyio.create_task_group() as tasks:
@@ -275,15 +278,15 @@
         raise failure
 
 
-def run_scenario(story, **options):
-    """Runs a story, an async function that takes a scene."""
+def run_scenario(scenario, **options):
+    """Runs a scenario, an async function that takes a scene."""
 
     async def run():
         with mock.patch.object(host_lib, "_HOSTS_GATHER_S", _HOSTS_GATHER_S):
-            await played()
+            await run_in_scene()
 
-    async def played():
+    async def run_in_scene():
         async with open_scene(**options) as scene:
-            await story(scene)
+            await scenario(scene)
 
     clock.run(run)
--- a/tests/coordination/gateway/test_bounds.py
+++ b/tests/coordination/gateway/test_bounds.py
@@ -1,4 +1,4 @@
-"""Tests that bounds of a deployment are kept, at half and twice their value."""
+"""Tests that bounds of a deployment are kept at half and twice their value."""
 
 import time
 import unittest
@@ -9,29 +9,29 @@
 
 
 class ConfigurationBoundTest(unittest.TestCase):
-    """A held read is not answered when a new configuration comes.
+    """Guards against a late configuration when a held read misses the change.
 
-    Seen on a day with five changes: a read that reached the store 30 ms before
-    a change was answered only when its time was over.
+    A read that reached the store 30 ms before a change was answered only when
+    its hold time was over.
     """
 
-    def test_configuration_is_in_force_in_time_though_its_read_is_deaf(self):
+    def test_configuration_is_applied_in_time_when_a_held_read_ignores_it(self):
         for config_ms in (1_000, 2_000, 4_000):
             with self.subTest(config_ms=config_ms):
-                late_s = self.play(config_ms, deaf=True, silent=False)
-                self.assertLess(late_s, config_ms / 1000.0)
+                delay_s = self.measure_delay(config_ms, deaf=True, silent=False)
+                self.assertLess(delay_s, config_ms / 1000.0)
 
-    def test_the_same_when_its_connection_falls_silent(self):
+    def test_configuration_is_applied_in_time_on_a_silent_connection(self):
         for config_ms in (1_000, 2_000, 4_000):
             with self.subTest(config_ms=config_ms):
-                late_s = self.play(config_ms, deaf=False, silent=True)
-                self.assertLess(late_s, config_ms / 1000.0)
+                delay_s = self.measure_delay(config_ms, deaf=False, silent=True)
+                self.assertLess(delay_s, config_ms / 1000.0)
 
-    def play(self, config_ms, deaf, silent):
-        """Returns how long a change takes that comes as a read begins."""
-        took_s = []
+    def measure_delay(self, config_ms, deaf, silent):
+        """Returns the delay of a change that comes just after a read begins."""
+        delays_s = []
 
-        async def story(scene):
+        async def scenario(scene):
             calls = scene.store.topic_calls
             before = calls["keyed.op"]
             scene.store.faults.deaf = deaf
@@ -42,7 +42,7 @@
             changed_at = time.monotonic()
             scene.configure(routes=[])
             await scene.until(lambda: scene.site.table.position == 2)
-            took_s.append(time.monotonic() - changed_at)
+            delays_s.append(time.monotonic() - changed_at)
 
-        scene_lib.run_scenario(story, linked=True, config_ms=config_ms)
-        return took_s[0]
+        scene_lib.run_scenario(scenario, linked=True, config_ms=config_ms)
+        return delays_s[0]
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Tests of configuration, keys, targets, weights, stops and the store."""
+"""Tests of configuration, keys, targets, weights, stops and store failures."""
 
 import contextlib
 import time
@@ -12,37 +12,37 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    def test_host_that_knows_nothing_answers_503(self):
-        async def story(scene):
+    def test_host_without_a_configuration_answers_503(self):
+        async def scenario(scene):
             scene.site.table = None
             answer = await scene.call(scene.request("/none/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertTrue(answer.head.get(b"retry-after"))
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_request_in_the_first_moments_waits_for_the_configuration(self):
-        async def story(scene):
+    def test_request_during_startup_waits_for_the_configuration(self):
+        async def scenario(scene):
             self.assertTrue(scene.not_ready_reason())
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.run_scenario(story, ready=False, slow_s=0.1)
+        scene_lib.run_scenario(scenario, ready=False, slow_s=0.1)
 
-    def test_host_that_learns_nothing_refuses_after_its_first_moments(self):
-        async def story(scene):
+    def test_host_without_a_configuration_refuses_after_the_startup_wait(self):
+        async def scenario(scene):
             scene.store.faults.silent = True
             first = await scene.call(scene.request("/once/x"))
             self.assertEqual(first.head.status, 503)
             scene.site.started_at -= 1.0
-            scene.site.wait_over = None  # whoever waits for it now fails
+            scene.site.wait_over = None  # a request that waits now fails
             again = await scene.call(scene.request("/once/x"))
             self.assertEqual(again.head.status, 503)
 
-        scene_lib.run_scenario(story, ready=False, slow_s=5.0)
+        scene_lib.run_scenario(scenario, ready=False, slow_s=5.0)
 
     def test_host_whose_store_fails_refuses_at_once(self):
-        async def story(scene):
+        async def scenario(scene):
             await scene.until(
                 lambda: scene.program.follower_context.watch.lost_at
             )
@@ -51,27 +51,27 @@
             self.assertEqual(answer.head.status, 503)
             self.assertLess(time.monotonic() - started, 0.2)
 
-        scene_lib.run_scenario(story, ready=False, store="127.0.0.1:1")
+        scene_lib.run_scenario(scenario, ready=False, store="127.0.0.1:1")
 
-    def test_request_that_waits_is_refused_as_soon_as_the_store_fails(self):
-        async def story(scene):
+    def test_waiting_request_is_refused_as_soon_as_the_store_fails(self):
+        async def scenario(scene):
             started = time.monotonic()
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertLess(time.monotonic() - started, 0.3)
 
-        scene_lib.run_scenario(story, ready=False, store="127.0.0.1:1")
+        scene_lib.run_scenario(scenario, ready=False, store="127.0.0.1:1")
 
     def test_targets_count_as_known_as_soon_as_they_are_read(self):
-        async def story(scene):
+        async def scenario(scene):
             site = scene.site
             await scene.until(lambda: site.table and site.targets.entries)
             self.assertEqual(scene.not_ready_reason(), "")
 
-        scene_lib.run_scenario(story, ready=False, slow_s=0.05)
+        scene_lib.run_scenario(scenario, ready=False, slow_s=0.05)
 
     def test_unknown_route_and_key(self):
-        async def story(scene):
+        async def scenario(scene):
             answer = await scene.call(scene.request("/none/x"))
             self.assertEqual(answer.head.status, 404)
             answer = await scene.call(
@@ -84,10 +84,10 @@
             self.assertEqual(answer.head.status, 200)
             self.assertEqual(len(scene.runs()), 1)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_newer_configuration_is_in_force_and_older_is_not(self):
-        async def story(scene):
+    def test_newer_configuration_is_applied_and_older_is_ignored(self):
+        async def scenario(scene):
             scene.configure(routes=scene.configuration["routes"][2:])
             await scene.until(lambda: scene.site.table.position == 2)
             answer = await scene.call(scene.prompt("/stream/x"))
@@ -98,10 +98,10 @@
             await anyio.sleep(0.1)
             self.assertEqual(scene.site.table.position, 2)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_unreadable_records_leave_what_was_good(self):
-        async def story(scene):
+    def test_unreadable_records_do_not_replace_readable_ones(self):
+        async def scenario(scene):
             scene.store.put_raw("keyed.op", "config", b"{")
             scene.store.put_raw("keyed.op", "version/m", b"[]")
             scene.store.put_raw("keyed.servers", "p0", b"\xff")
@@ -114,10 +114,10 @@
                 scene.program.metrics.render(),
             )
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_dropped_history_is_read_anew(self):
-        async def story(scene):
+    def test_topics_are_reread_when_the_store_dropped_their_history(self):
+        async def scenario(scene):
             scene.store.faults.status = 503
             await scene.until(
                 lambda: scene.program.follower_context.watch.lost_at
@@ -129,12 +129,12 @@
             await scene.until(lambda: scene.site.table.position == 2)
             await scene.until(lambda: "p0" not in scene.site.targets.entries)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
 
 class KeyTest(unittest.TestCase):
-    def test_changes_do_not_make_keys_look_old(self):
-        async def story(scene):
+    def test_changes_do_not_make_keys_appear_outdated(self):
+        async def scenario(scene):
             oldest = 0.0
             started = anyio.current_time()
             while anyio.current_time() - started < 2.0:
@@ -145,10 +145,10 @@
                     oldest = max(oldest, scene.site.freshness.age(now))
             self.assertLess(oldest, scene.site.greatest_age_s)
 
-        scene_lib.run_scenario(story, revoke_ms=1400)
+        scene_lib.run_scenario(scenario, revoke_ms=1400)
 
-    def test_one_reader_of_a_host_asks_a_lost_store_for_all(self):
-        async def story(scene):
+    def test_one_follower_of_a_host_probes_a_lost_store(self):
+        async def scenario(scene):
             calls = scene.store.topic_calls
             scene.store.faults.status = 503
             scene.configure()  # ends held reads, and the next ones fail
@@ -158,17 +158,17 @@
             await scene.until(
                 lambda: calls["keyed.op"] > before["keyed.op"] + 3
             )
-            asked = calls["keyed.servers"] - before["keyed.servers"]
-            self.assertLessEqual(asked, 1)
+            call_count = calls["keyed.servers"] - before["keyed.servers"]
+            self.assertLessEqual(call_count, 1)
             scene.store.faults.status = 0
             late = standin.PlatformTargetStandin("late", "plain")
             scene.list_target(late)
             await scene.until(lambda: "late" in scene.site.targets.entries)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_withdrawn_key_ends_at_a_host_that_lost_the_store(self):
-        async def story(scene):
+    def test_withdrawn_key_is_refused_by_a_host_that_lost_the_store(self):
+        async def scenario(scene):
             scene.store.faults.silent = True
             scene.configure(tenants=[])
             lost_at = time.monotonic()
@@ -186,70 +186,70 @@
             answer = await scene.call(scene.request("/open/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.run_scenario(story, revoke_ms=1500)
+        scene_lib.run_scenario(scenario, revoke_ms=1500)
 
-    def test_host_that_was_frozen_serves_no_key_before_it_has_read(self):
-        async def story(scene):
+    def test_resumed_host_serves_no_key_until_it_has_read(self):
+        async def scenario(scene):
             scene.site.freshness.known_until -= 60.0
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
 
-class ReturnTest(unittest.TestCase):
-    """Where and when callers come back that were refused."""
+class RetryAfterTest(unittest.TestCase):
+    """Where and when callers retry that were refused."""
 
-    async def refused(self, scene):
-        """Returns the head of a refusal for want of the store."""
+    async def call_refused(self, scene):
+        """Returns the head of an answer refused because the store is lost."""
         answer = await scene.call(scene.request("/once/x"))
         self.assertEqual(answer.head.status, 503)
         return answer.head
 
     def test_host_without_the_store_sends_callers_elsewhere(self):
-        async def story(scene):
+        async def scenario(scene):
             scene.site.neighbour_count = 2
             age_s = scene.site.greatest_age_s + 0.1
             scene.store.faults.silent = True
             scene.site.freshness.known_until = time.monotonic() - age_s
-            head = await self.refused(scene)
+            head = await self.call_refused(scene)
             self.assertEqual(head.get(b"connection"), b"close")
             self.assertLess(float(head.get(b"retry-after")), 0.2)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_callers_of_a_lone_host_wait_until_the_balancer_knows(self):
-        """Those that come back at once would come back to the same host."""
+    def test_callers_of_a_lone_host_retry_after_the_balancer_has_noticed(self):
+        """An immediate retry would reach the same host again."""
 
-        async def story(scene):
+        async def scenario(scene):
             entry = {"data_centre": "there", "feed": "127.0.0.1:1"}
             scene.store.put("keyed.hosts", "h2", entry)
             await scene.until(lambda: scene.site.cluster_size == 2)
             age_s = scene.site.greatest_age_s + 0.1
             scene.store.faults.silent = True
             scene.site.freshness.known_until = time.monotonic() - age_s
-            waits_s = 2.0 - scene.site.unready_s(time.monotonic())
-            head = await self.refused(scene)
-            after_s = float(head.get(b"retry-after"))
-            self.assertGreaterEqual(after_s, waits_s - 0.1)
-            self.assertLess(after_s, 2.0)
+            expected_s = 2.0 - scene.site.unready_s(time.monotonic())
+            head = await self.call_refused(scene)
+            retry_after_s = float(head.get(b"retry-after"))
+            self.assertGreaterEqual(retry_after_s, expected_s - 0.1)
+            self.assertLess(retry_after_s, 2.0)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_callers_that_the_balancer_still_sends_come_back_later(self):
-        """It would use other hosts by then, if there were any."""
+    def test_callers_retry_later_when_the_balancer_has_no_other_host(self):
+        """By then the balancer would use other hosts, if there were any."""
 
-        async def story(scene):
+        async def scenario(scene):
             scene.store.faults.silent = True
             scene.site.freshness.known_until = time.monotonic() - 60.0
-            head = await self.refused(scene)
+            head = await self.call_refused(scene)
             self.assertGreaterEqual(float(head.get(b"retry-after")), 1.0)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_urgent_callers_come_back_before_others(self):
-        async def story(scene):
+    def test_callers_with_higher_priority_retry_first(self):
+        async def scenario(scene):
             routes = [
                 scene_lib.route(
                     f"p{n}", f"/p{n}/", "idempotent", "plain", priority=n
@@ -276,12 +276,12 @@
             self.assertLessEqual(max(spans[0]), min(spans[1]))
             self.assertLessEqual(max(spans[1]), min(spans[2]))
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
 
 class HostsTest(unittest.TestCase):
     def test_hosts_are_counted_in_the_store(self):
-        async def story(scene):
+        async def scenario(scene):
             entry = {"data_centre": "there", "feed": "127.0.0.1:1"}
             for name in ("h2", "h3"):
                 scene.store.put("keyed.hosts", name, entry)
@@ -292,36 +292,36 @@
             )
             self.assertIn("h1", scene.store.topics["keyed.hosts"].newest)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
 
 class TargetTest(unittest.TestCase):
     def test_leaving_target_gets_no_new_work(self):
-        async def story(scene):
-            gone, stays = scene.plain
-            scene.list_target(gone, "draining")
+        async def scenario(scene):
+            departing, remaining = scene.plain
+            scene.list_target(departing, "draining")
             await scene.until(lambda: "p0" in scene.site.targets.leaving)
-            scene.list_target(gone, "ready")
+            scene.list_target(departing, "ready")
             for _ in range(4):
                 answer = await scene.call(scene.request("/once/x"))
                 self.assertEqual(answer.head.status, 200)
-            self.assertEqual(len(gone.runs), 0)
-            self.assertEqual(len(stays.runs), 4)
+            self.assertEqual(len(departing.runs), 0)
+            self.assertEqual(len(remaining.runs), 4)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_reused_address_is_not_taken_for_its_former_target(self):
-        async def story(scene):
+    def test_target_at_a_reused_address_is_not_mistaken_for_another(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.name = f"other-{target.name}"
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_entries_that_lapsed_in_an_outage_are_kept_for_a_while(self):
-        async def story(scene):
+    def test_entries_that_expired_during_an_outage_are_kept_for_a_while(self):
+        async def scenario(scene):
             scene.store.faults.status = 503
             await scene.until(
                 lambda: scene.program.follower_context.watch.lost_at
@@ -339,12 +339,12 @@
             await scene.until(lambda: "p1" not in scene.site.targets.entries)
             self.assertIn("p0", scene.site.targets.entries)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
 
 class WeightsTest(unittest.TestCase):
-    def test_named_weights_are_loaded_by_every_engine(self):
-        async def story(scene):
+    def test_announced_weights_are_loaded_by_every_engine(self):
+        async def scenario(scene):
             scene.store.put(
                 "keyed.op", "version/m", {"model": "m", "version": 2}
             )
@@ -360,10 +360,10 @@
             run = [r for e in scene.engines for r in e.runs][-1]
             self.assertEqual(run.request.get(b"x-expect-version"), b"2")
 
-        scene_lib.run_scenario(story, engines=5)
+        scene_lib.run_scenario(scenario, engines=5)
 
-    def test_holder_stops_when_an_engine_has_seen_a_newer_one(self):
-        async def story(scene):
+    def test_lease_holder_stops_when_an_engine_has_seen_a_newer_one(self):
+        async def scenario(scene):
             for engine in scene.engines:
                 engine.order_status = 412
             scene.store.put(
@@ -375,10 +375,10 @@
             await anyio.sleep(0.3)
             self.assertFalse(lease.may_act())
 
-        scene_lib.run_scenario(story, engines=1)
+        scene_lib.run_scenario(scenario, engines=1)
 
-    def test_engine_that_comes_back_old_gets_nothing_late(self):
-        async def story(scene):
+    def test_engine_that_returns_with_outdated_weights_gets_no_requests(self):
+        async def scenario(scene):
             scene.store.put(
                 "keyed.op", "version/m", {"model": "m", "version": 2}
             )
@@ -406,19 +406,19 @@
                 self.assertEqual(answer.head.status, 200)
             self.assertEqual(old.runs, [])
 
-        scene_lib.run_scenario(story, engines=2)
+        scene_lib.run_scenario(scenario, engines=2)
 
 
 class StopTest(unittest.TestCase):
-    def test_planned_stop_answers_what_runs_and_closes_what_rests(self):
-        async def story(scene):
+    def test_planned_stop_finishes_requests_and_closes_idle_connections(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.always = standin.Serve(0.6)
             address = scene.program.server.address
-            resting = await scene.pool.take(address)
-            await resting.send_request(scene.request("/open/x"))
-            await resting.read_head()
-            await resting.read_body(1000)
+            idle = await scene.pool.take(address)
+            await idle.send_request(scene.request("/open/x"))
+            await idle.read_head()
+            await idle.read_body(1000)
             busy = await scene.pool.take(address)
             await busy.send_request(scene.request("/once/x"))
             stopped = anyio.Event()
@@ -434,13 +434,13 @@
             self.assertEqual(head.status, 200)
             self.assertEqual(head.get(b"connection"), b"close")
             with anyio.fail_after(3.0):
-                self.assertEqual(await resting.receive(), b"")
+                self.assertEqual(await idle.receive(), b"")
                 await stopped.wait()
 
-        scene_lib.run_scenario(story, grace_s=1.6)
+        scene_lib.run_scenario(scenario, grace_s=1.6)
 
-    def test_host_about_to_end_refuses_what_it_could_not_finish(self):
-        async def story(scene):
+    def test_closing_host_refuses_requests(self):
+        async def scenario(scene):
             scene.tasks.start_soon(scene.program.drain, time.monotonic())
             await scene.until(lambda: scene.site.is_closing)
             answer = await scene.call(scene.request("/once/x"))
@@ -449,20 +449,20 @@
             self.assertTrue(answer.head.get(b"retry-after"))
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.run_scenario(story, grace_s=0.8)
+        scene_lib.run_scenario(scenario, grace_s=0.8)
 
     def test_request_three_seconds_into_a_stop_is_refused(self):
-        async def story(scene):
+        async def scenario(scene):
             scene.tasks.start_soon(scene.program.drain, time.monotonic())
             await anyio.sleep(3.0)
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.run_scenario(story, grace_s=8.0)
+        scene_lib.run_scenario(scenario, grace_s=8.0)
 
-    def test_request_on_a_resting_connection_is_served_until_it_closes(self):
-        async def story(scene):
+    def test_request_on_an_idle_connection_is_served_until_it_closes(self):
+        async def scenario(scene):
             scene.program.server.stopping = True
             connection = await scene.pool.take(scene.program.server.address)
             await connection.send_request(scene.request("/once/x"))
@@ -470,10 +470,10 @@
             head = await connection.read_head()
             self.assertEqual(head.status, 200)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
-    def test_what_still_runs_at_the_end_gets_a_final_answer(self):
-        async def story(scene):
+    def test_request_cancelled_at_the_end_of_a_stop_gets_an_answer(self):
+        async def scenario(scene):
             for target in scene.plain:
                 target.always = standin.Hang()
             connection = await scene.pool.take(scene.program.server.address)
@@ -486,10 +486,10 @@
             self.assertEqual(head.status, 502)
             self.assertIn(b'"run":"unknown"', body)
 
-        scene_lib.run_scenario(story, grace_s=0.8)
+        scene_lib.run_scenario(scenario, grace_s=0.8)
 
-    def test_request_that_comes_in_slowly_is_answered_before_the_end(self):
-        async def story(scene):
+    def test_slowly_sent_request_is_answered_before_the_end_of_a_stop(self):
+        async def scenario(scene):
             stopped = anyio.Event()
 
             async def stop():
@@ -511,12 +511,12 @@
             with anyio.fail_after(0.3):
                 await stopped.wait()
 
-        scene_lib.run_scenario(story, grace_s=1.6)
+        scene_lib.run_scenario(scenario, grace_s=1.6)
 
 
-class DoorTest(unittest.TestCase):
+class CallerInputTest(unittest.TestCase):
     def test_bad_requests_are_refused_and_counted(self):
-        async def story(scene):
+        async def scenario(scene):
             raw = {
                 b"POST /once/x HTTP/1.1\r\nhost: a\r\ncontent-length: 1\r\n"
                 b"transfer-encoding: chunked\r\n\r\n": b" 400 ",
@@ -534,10 +534,10 @@
                 await connection.close()
             self.assertEqual(scene.runs(), [])
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
     def test_prompt_headers_survive_the_connection_header(self):
-        async def story(scene):
+        async def scenario(scene):
             answer = await scene.call(
                 scene.prompt(
                     "/stream/x",
@@ -550,7 +550,7 @@
             self.assertTrue(run.request.get(b"x-prompt-prefix"))
             self.assertFalse(run.request.get(b"x-a"))
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
 
 async def _send(connection, data):
--- a/tests/coordination/gateway/test_restarts.py
+++ b/tests/coordination/gateway/test_restarts.py
@@ -1,4 +1,4 @@
-"""Tests that a target's start, and nothing of before, decides its use."""
+"""Tests that state of a target's earlier start does not affect its use."""
 
 import socket
 import unittest
@@ -29,9 +29,9 @@
     "sequence": 4,
     "born": 1_000,
 }
-# Beside what is done meanwhile.
+# Longer than the restart that interrupts the load.
 _LONG_LOAD_S = 1.0
-_FOREIGN = strategies.one_of(
+_INVALID_VALUES = strategies.one_of(
     strategies.none(),
     strategies.booleans(),
     strategies.floats(allow_nan=False),
@@ -39,12 +39,14 @@
     strategies.text(max_size=8),
     strategies.lists(strategies.integers(), max_size=2),
 )
-# Of no interest here, and slow to make.
+# Shared by all tests, since they are slow to create.
 _METRICS = metrics.GatewayMetrics()
-_seeded = hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
+_derandomized = hypothesis.settings(
+    derandomize=True, max_examples=300, deadline=None
+)
 
 
-def _site():
+def _make_site():
     values = settings.GatewaySettings(
         host="h1",
         data_centre="here",
@@ -59,50 +61,50 @@
     return msgspec.json.encode(_ENTRY | changes)
 
 
-def can_listen(port):
-    """Returns whether nobody listens on a port any more."""
-    with socket.socket() as tried:
-        tried.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+def is_port_free(port):
+    """Returns whether a port can be bound again."""
+    with socket.socket() as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            tried.bind(("127.0.0.1", port))
+            probe.bind(("127.0.0.1", port))
         except OSError:
             return False
         return True
 
 
-class ForeignEntryTest(unittest.TestCase):
-    """Entries that another writer left where targets are listed."""
+class InvalidEntryTest(unittest.TestCase):
+    """Entries in the list of targets that another program wrote."""
 
     def setUp(self):
-        self.site = _site()
+        self.site = _make_site()
         self.site.put_target("good", _encode())
         self.site.put_target("other", _encode(address="10.0.0.2:80"))
 
-    def expect_unused(self, payload):
+    def assert_unused(self, payload):
         with self.assertRaises(errors.ConfigurationError):
             self.site.put_target("good", payload)
         self.assertEqual(set(self.site.targets.entries), {"other"})
         self.site.put_target("good", _encode())
         self.assertEqual(set(self.site.targets.entries), {"good", "other"})
 
-    def test_entry_with_a_field_missing_names_no_target(self):
+    def test_entry_with_a_missing_field_is_not_used(self):
         for name in _ENTRY.keys() - {"models"}:
             with self.subTest(name):
                 fields = {k: v for k, v in _ENTRY.items() if k != name}
-                self.expect_unused(msgspec.json.encode(fields))
+                self.assert_unused(msgspec.json.encode(fields))
 
-    def test_engine_without_models_is_not_used(self):
+    def test_engine_without_models_holds_no_weights(self):
         fields = {k: v for k, v in _ENTRY.items() if k != "models"}
         entry = targets.decode_entry("good", msgspec.json.encode(fields))
         self.assertFalse(entry.weights)
 
-    def test_entry_of_unknown_state_names_no_target_and_is_no_departure(self):
-        self.expect_unused(_encode(state="asleep"))
+    def test_entry_with_an_unknown_state_is_not_used_nor_a_departure(self):
+        self.assert_unused(_encode(state="asleep"))
 
-    @_seeded
-    @hypothesis.given(strategies.sampled_from(sorted(_ENTRY)), _FOREIGN)
-    def test_field_of_another_type_names_no_target(self, name, value):
-        site = _site()
+    @_derandomized
+    @hypothesis.given(strategies.sampled_from(sorted(_ENTRY)), _INVALID_VALUES)
+    def test_entry_with_a_field_of_another_type_is_not_used(self, name, value):
+        site = _make_site()
         site.put_target("good", _encode())
         is_text = isinstance(value, str) and isinstance(_ENTRY[name], str)
         if is_text and name not in ("address", "state"):
@@ -113,21 +115,21 @@
             site.put_target("good", _encode(**{name: value}))
         self.assertEqual(site.targets.entries, {})
 
-    @_seeded
+    @_derandomized
     @hypothesis.given(strategies.binary(max_size=60))
-    def test_bytes_that_cannot_be_read_name_no_target(self, payload):
-        site = _site()
+    def test_unreadable_entry_is_not_used(self, payload):
+        site = _make_site()
         with self.assertRaises(errors.ConfigurationError):
             site.put_target("good", payload)
         self.assertEqual(site.targets.entries, {})
 
-    def test_addresses_that_cannot_be_reached_are_refused(self):
+    def test_entries_with_invalid_addresses_are_refused(self):
         for address in ("", "10.0.0.1", "10.0.0.1:0", "host:80", "1.2.3.4:x"):
             with self.subTest(address):
-                self.expect_unused(_encode(address=address))
+                self.assert_unused(_encode(address=address))
 
-    def test_others_hold_behind_entries_of_another_writer(self):
-        async def story(scene):
+    def test_invalid_entries_do_not_affect_other_targets(self):
+        async def scenario(scene):
             engine = scene.engines[0]
             for number, raw in enumerate((b"\xff", b"[]", b"{}", b"7")):
                 scene.store.put_raw("keyed.servers", f"bad{number}", raw)
@@ -140,23 +142,23 @@
             scene.list_target(engine)
             await scene.until(lambda: engine.name in entries)
 
-        scene_lib.run_scenario(story)
+        scene_lib.run_scenario(scenario)
 
 
 class RestartTest(unittest.TestCase):
-    """Targets that start again under the name they had."""
+    """Targets that restart under the same name."""
 
     def setUp(self):
-        self.site = _site()
+        self.site = _make_site()
         self.site.put_target("e", _encode())
 
-    def test_what_was_learned_of_the_earlier_start_is_forgotten(self):
+    def test_state_of_the_earlier_start_is_discarded(self):
         state = self.site.state("e")
         state.record_unreachable(0.0)
         state.is_unreachable = True
         state.refused_until = 1e9
         self.site.observe_weights("e", "m", 9)
-        self.site.record_prompt("e", self.notice(1_000))
+        self.site.record_prompt("e", self.make_notice(1_000))
         self.site.put_target("e", _encode(born=2_000))
         state = self.site.state("e")
         self.assertIs(state.breaker.state(0.0), health.BreakerState.CLOSED)
@@ -164,14 +166,14 @@
         self.assertEqual(len(state.warm), 0)
         self.assertEqual(self.site.weights.held_version("e", "m"), 3)
 
-    def test_notices_meant_for_the_earlier_start_change_nothing(self):
+    def test_notices_for_the_earlier_start_are_ignored(self):
         self.site.put_target("e", _encode(born=2_000))
-        self.site.apply_work_notice(self.notice(1_000), 0.0)
+        self.site.apply_work_notice(self.make_notice(1_000), 0.0)
         self.assertEqual(self.site.state("e").load.queued_tokens(0.0), 0.0)
-        self.site.apply_work_notice(self.notice(2_000), 0.0)
+        self.site.apply_work_notice(self.make_notice(2_000), 0.0)
         self.assertGreater(self.site.state("e").load.queued_tokens(0.0), 0.0)
 
-    def test_reports_of_the_earlier_start_change_nothing(self):
+    def test_reports_of_the_earlier_start_are_ignored(self):
         self.site.put_target("e", _encode(born=2_000))
         late = targets.decode_report(
             msgspec.json.encode(
@@ -181,7 +183,7 @@
         self.assertFalse(self.site.apply_report("e", "m", late))
         self.assertEqual(self.site.weights.held_version("e", "m"), 3)
 
-    def test_report_of_a_later_start_is_believed_before_the_list(self):
+    def test_report_of_a_later_start_is_applied_before_the_list_shows_it(self):
         self.site.state("e").record_unreachable(0.0)
         report = targets.decode_report(
             msgspec.json.encode(
@@ -194,7 +196,7 @@
         self.site.put_target("e", _encode(state="draining"))  # late
         self.assertFalse(self.site.targets.entries["e"].leaving)
 
-    def notice(self, born_ms):
+    def make_notice(self, born_ms):
         return work_notice.WorkNotice(
             target_list.incarnation_key("e", born_ms),
             5_000,
@@ -205,18 +207,18 @@
         )
 
 
-class RestartedSceneTest(unittest.TestCase):
+class RestartScenarioTest(unittest.TestCase):
     async def restart(self, scene, target):
-        """Has a target start again under its name and address."""
+        """Restarts a target under its name and address."""
         scene.stop_listening(target)
         _, port = target.address.split(":")
-        await scene.until(lambda: can_listen(int(port)))
+        await scene.until(lambda: is_port_free(int(port)))
         target.restart(int(port))
         scene.tasks.start_soon(scene.listen, target)
         scene.list_target(target)
 
     def test_target_that_left_serves_after_its_next_start(self):
-        async def story(scene):
+        async def scenario(scene):
             (target,) = scene.plain
             scene.list_target(target, "draining")
             entries = scene.site.targets.entries
@@ -228,25 +230,25 @@
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 200)
 
-        scene_lib.run_scenario(story, plain=1)
+        scene_lib.run_scenario(scenario, plain=1)
 
-    def test_orders_count_anew_after_a_start(self):
-        async def story(scene):
+    def test_order_revisions_start_anew_after_a_restart(self):
+        async def scenario(scene):
             (engine,) = scene.engines
             scene.announce_weights(2)
             await scene.until(lambda: engine.weights == 2)
             await self.restart(scene, engine)
             scene.announce_weights(3)
             await scene.until(lambda: engine.weights == 3)
-            counts = [order["expectedRevision"] for order in engine.orders]
-            self.assertEqual(counts, [0, 0])
+            revisions = [order["expectedRevision"] for order in engine.orders]
+            self.assertEqual(revisions, [0, 0])
 
-        scene_lib.run_scenario(story, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
 
-    def test_load_of_a_start_that_ended_is_ordered_again_at_once(self):
-        """Its count would never reach that of the start that is over."""
+    def test_load_interrupted_by_a_restart_is_ordered_again_at_once(self):
+        """Its revision would never reach that of the earlier start."""
 
-        async def story(scene):
+        async def scenario(scene):
             (engine,) = scene.engines
             scene.announce_weights(2)
             await scene.until(lambda: engine.weights == 2)
@@ -257,12 +259,12 @@
             await self.restart(scene, engine)
             await scene.until(lambda: engine.weights == 3)
             loads = scene.program.metrics.loads
-            ended = {
+            outcomes = {
                 name: loads.labels(name)._value.get()
                 for name in ("restarted", "no_report", "too_long")
             }
-            self.assertEqual(ended["too_long"], 0)
-            # Asked in the moment between two starts it reports nothing.
-            self.assertEqual(ended["restarted"] + ended["no_report"], 1)
+            self.assertEqual(outcomes["too_long"], 0)
+            # An engine that is queried between its two starts reports nothing.
+            self.assertEqual(outcomes["restarted"] + outcomes["no_report"], 1)
 
-        scene_lib.run_scenario(story, engines=1, plain=0)
+        scene_lib.run_scenario(scenario, engines=1, plain=0)
--- a/tests/coordination/gateway/test_settings_watch.py
+++ b/tests/coordination/gateway/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Tests that changed settings are in force wherever they count."""
+"""Tests that changed settings are applied wherever they are used."""
 
 import json
 import pathlib
@@ -37,7 +37,7 @@
     def write(self, **changes):
         self.path.write_text(json.dumps({**_SETTINGS, **changes}))
 
-    def test_changed_bounds_reach_what_keeps_to_them(self):
+    def test_changed_bounds_are_applied_to_targets_and_weights(self):
         self.assertAlmostEqual(self.site.targets.max_missing_s, 1.2)
         self.assertAlmostEqual(self.site.weights.limit_s, 10.0)
         self.write(drain_ms=1_000, version_ms=4_000)
@@ -45,7 +45,7 @@
         self.assertAlmostEqual(self.site.targets.max_missing_s, 0.6)
         self.assertAlmostEqual(self.site.weights.limit_s, 4.0)
 
-    def test_file_that_changed_before_the_watch_began_is_read(self):
+    def test_file_that_changed_before_the_watch_started_is_read(self):
         self.write(drain_ms=1_000)
 
         async def watch():
