--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -61,10 +61,10 @@
 # enough: a read that is wrongly given up is soon sent again.
 _MAX_UNANSWERED_PROBES = 1
 # Longest times for which the store holds a read where no bound requires less.
-# Each read has a cost, so they are long.
+# Each read has a cost, so these times are long.
 _OPERATOR_WAIT_S = 2.5
 _TARGETS_WAIT_S = 20.0
-# The same for reads from another host, of data that may age meanwhile.
+# The same for reads from another host, of data that may be this old.
 _PEER_WAIT_S = 4.0
 # Delay of the next read, so that changes that follow each other are read
 # together. For targets it is a share of `drain_ms`, the time for which work may
@@ -403,7 +403,7 @@
         )
 
     def _rewrite_lost_records(self, keys: list[str]) -> None:
-        """Rewrites records of this host that a restored store has lost."""
+        """Rewrites host entries and quarantines that a restored store lost."""
         self.tasks.start_soon(self.hosts.register_again, self._find_own_entry)
         for key in keys:
             if key.startswith(host_registry.QUARANTINE_PREFIX):
@@ -425,7 +425,7 @@
         return self.followers[host_registry.HOSTS_TOPIC].copy
 
     def _wake_readers(self) -> None:
-        """Notifies hosts that read from this one that it has lost the store."""
+        """Wakes held reads of other hosts: this host gets no more changes."""
         for follower in self.followers.values():
             follower.wake()
 
--- a/hillthread/coordination/gateway/site.py
+++ b/hillthread/coordination/gateway/site.py
@@ -122,8 +122,8 @@
     def apply_weights_announcement(self, payload: bytes) -> None:
         """Applies an announcement of new weights.
 
-        They were announced after the last confirmed read: this host may learn
-        of them late, or find them when it starts.
+        It was made after the last confirmed read: this host may learn of it
+        late, or find it when it starts.
 
         Raises:
             ConfigurationError: The record is unreadable.
