--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -17,7 +17,7 @@
 
 __all__ = ["HeadChecker"]
 
-_REFUSALS = (409, 429, 503)
+_REFUSAL_STATUSES = (409, 429, 503)
 
 
 class Expectation(NamedTuple):
@@ -57,7 +57,7 @@
                 on other weights than expected.
         """
         self._check_identity(response, expected)
-        epoch = self._learn_epoch(response, expected)
+        epoch = self._record_epoch(response, expected)
         self._check_status(response, expected)
         expected.attempt.state = records.AttemptState.ACCEPTED
         self._check_epoch(epoch, expected)
@@ -70,9 +70,9 @@
             return
         if echoed is None and not expected.must_echo:
             return
-        self._refuse("attempt_id", "answer to another attempt")
+        self._reject("attempt_id", "answer to another attempt")
 
-    def _learn_epoch(
+    def _record_epoch(
         self, response: target_client.TargetResponse, expected: Expectation
     ) -> warmth.CacheEpoch | None:
         name = expected.target.name
@@ -90,19 +90,19 @@
         self, response: target_client.TargetResponse, expected: Expectation
     ) -> None:
         status = response.status_code
-        self._learn_backoff(response, expected.target.name)
-        if status in _REFUSALS and expected.target.truthful_refusals:
+        self._apply_backoff(response, expected.target.name)
+        if status in _REFUSAL_STATUSES and expected.target.truthful_refusals:
             raise target_client.AttemptError(
                 records.AttemptState.REFUSED,
                 f"refused with status {status}",
                 targets_fault=False,
             )
-        if status >= 500 or status in _REFUSALS:
+        if status >= 500 or status in _REFUSAL_STATUSES:
             raise target_client.AttemptError(
                 records.AttemptState.SENT, f"status {status}"
             )
 
-    def _learn_backoff(
+    def _apply_backoff(
         self, response: target_client.TargetResponse, target: str
     ) -> None:
         """Applies the back-off that a target which sheds load asks for."""
@@ -119,13 +119,13 @@
         if epoch is None or expected.epoch is None:
             return
         if epoch.weights_version != expected.epoch.weights_version:
-            self._refuse("weights_version", "ran with other weights")
+            self._reject("weights_version", "ran with other weights")
         if not expected.requires_same_incarnation:
             return
         if epoch.incarnation != expected.epoch.incarnation:
-            self._refuse("incarnation", "another incarnation answered")
+            self._reject("incarnation", "another incarnation answered")
 
-    def _refuse(self, check: str, reason: str) -> None:
+    def _reject(self, check: str, reason: str) -> None:
         self.metrics.mismatches.labels(check).inc()
         raise target_client.AttemptError(
             records.AttemptState.ACCEPTED, reason, resumable=False
--- a/hillthread/coordination/claims.py
+++ b/hillthread/coordination/claims.py
@@ -12,7 +12,7 @@
 # Bound on memory where a router runs without a log.
 _MAX_CLAIMS = 100_000
 # As long as the claims on the log; see claim_keeper.
-_CLAIM_S = 3_600.0
+_CLAIM_TTL_S = 3_600.0
 
 
 class ClaimResult(enum.StrEnum):
@@ -45,7 +45,7 @@
 
     def __init__(self):
         self.holders: cachetools.TTLCache = cachetools.TTLCache(
-            _MAX_CLAIMS, ttl=_CLAIM_S
+            _MAX_CLAIMS, ttl=_CLAIM_TTL_S
         )
 
     async def claim(self, tenant: str, key: str, holder: str) -> ClaimResult:
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -28,17 +28,17 @@
 __all__ = ["ControlClient"]
 
 # Demand and finished records are told this often.
-_DEMAND_EVERY_S = 1.0
+_DEMAND_INTERVAL_S = 1.0
 # One in so many records of plainly answered requests goes to the log.
-_SAMPLE_EVERY = 100
+_SAMPLE_INTERVAL_RECORDS = 100
 # Bound on handing over records at a stop.
-_FLUSH_S = 2.0
+_FLUSH_TIMEOUT_S = 2.0
 # Records that wait for the link; the oldest are dropped and counted.
-_MAX_FINISHED = 500
+_MAX_QUEUED_RECORDS = 500
 # Pause before the control process is dialled again.
-_RECONNECT_S = 0.2
+_RECONNECT_PAUSE_S = 0.2
 # Bound on waiting for the verdict on a claim.
-_CLAIM_S = 4.0
+_CLAIM_TIMEOUT_S = 4.0
 
 _logger = logging.getLogger(__name__)
 
@@ -68,8 +68,8 @@
         self.link: link_lib.Link | None = None
         self._claim_ids = itertools.count()
         self._claims: dict[int, _PendingClaim] = {}
-        self._sampled = 0
-        self._finished: collections.deque[bytes] = collections.deque()
+        self._plain_count = 0
+        self._queued_records: collections.deque[bytes] = collections.deque()
         router.on_finished = self.enqueue_record
 
     async def run(self) -> None:
@@ -81,7 +81,7 @@
                 )
             except errors.PeerError:
                 self.router.metrics.links.labels("failed").inc()
-                await anyio.sleep(_RECONNECT_S)
+                await anyio.sleep(_RECONNECT_PAUSE_S)
                 continue
             self.router.metrics.links.labels("opened").inc()
             await self._serve(link)
@@ -101,13 +101,13 @@
             await self.link.send(
                 messages.ClaimRequest(claim_id, digest, holder)
             )
-            with anyio.move_on_after(_CLAIM_S):
+            with anyio.move_on_after(_CLAIM_TIMEOUT_S):
                 await pending.answered.wait()
         except errors.PeerError:
             return claims.ClaimResult.UNAVAILABLE
         finally:
             del self._claims[claim_id]
-        return pending.verdict
+        return pending.result
 
     async def release(self, tenant: str, key: str, holder: str) -> None:
         """See the base class."""
@@ -124,37 +124,39 @@
 
         All that were not plainly answered are, and a sample of the rest.
         """
-        plain = record.outcome == "answered" and len(record.attempts) == 1
-        self._sampled = (self._sampled + plain) % _SAMPLE_EVERY
-        if plain and self._sampled:
+        is_plain = record.outcome == "answered" and len(record.attempts) == 1
+        self._plain_count = (
+            self._plain_count + is_plain
+        ) % _SAMPLE_INTERVAL_RECORDS
+        if is_plain and self._plain_count:
             return
-        self._finished.append(documents.encode_document(record))
-        if len(self._finished) > _MAX_FINISHED:
-            self._finished.popleft()
+        self._queued_records.append(documents.encode_document(record))
+        if len(self._queued_records) > _MAX_QUEUED_RECORDS:
+            self._queued_records.popleft()
             self.router.metrics.records_lost.inc()
 
     async def flush(self) -> None:
         """Sends what must not be lost with this process."""
         if self.link is None:
             return
-        with anyio.move_on_after(_FLUSH_S):
+        with anyio.move_on_after(_FLUSH_TIMEOUT_S):
             try:
-                await self._send_finished(self.link)
+                await self._send_queued_records(self.link)
             except errors.PeerError:
                 return
 
-    async def _send_finished(self, link: link_lib.Link) -> None:
-        while self._finished:
-            document = self._finished[0]
+    async def _send_queued_records(self, link: link_lib.Link) -> None:
+        while self._queued_records:
+            document = self._queued_records[0]
             await link.send(messages.FinishedRecord(document))
-            self._finished.popleft()
+            self._queued_records.popleft()
 
     async def _serve(self, link: link_lib.Link) -> None:
         self.link = link
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._share, link)
-                group.start_soon(self._tell_second, link)
+                group.start_soon(self._send_placements, link)
+                group.start_soon(self._send_demand_and_records, link)
                 async for message in link.receive():
                     await self._handle(link, message)
                 group.cancel_scope.cancel()
@@ -170,7 +172,7 @@
                 1 + self.router.fleet.unreachable_router_count
             )
 
-    async def _share(self, link: link_lib.Link) -> None:
+    async def _send_placements(self, link: link_lib.Link) -> None:
         """Tells a placement at once, further ones after a fixed time."""
         fleet = self.router.fleet
         while True:
@@ -186,14 +188,14 @@
                 return
             await anyio.sleep(self.router.settings.share_every_s)
 
-    async def _tell_second(self, link: link_lib.Link) -> None:
+    async def _send_demand_and_records(self, link: link_lib.Link) -> None:
         """Tells demand and finished records, at fixed intervals."""
         while True:
-            await anyio.sleep(_DEMAND_EVERY_S)
+            await anyio.sleep(_DEMAND_INTERVAL_S)
             rates = self.router.demand_shares.end_interval(clock.now())
             try:
                 await link.send(messages.Demand(self.identity.host, rates))
-                await self._send_finished(link)
+                await self._send_queued_records(link)
             except errors.PeerError:
                 return
 
@@ -203,23 +205,23 @@
         fleet = self.router.fleet
         match message:
             case messages.SnapshotMessage():
-                self._take_snapshot(message)
+                self._apply_snapshot(message)
             case messages.Records():
                 self.keeper.apply_records(
                     message.first_offset, message.payloads, message.chain
                 )
-                self._adopt()
+                self._apply_configuration()
             case messages.TargetState(target, incarnation, True):
                 fleet.departures.mark_leaving(target, incarnation)
             case messages.TargetState(target, incarnation, False):
                 fleet.departures.mark_live(target, incarnation)
             case messages.Loads():
                 for each in message.loads:
-                    self._take_load(each)
+                    self._apply_load(each)
             case messages.Shares():
                 now = clock.now()
                 for each in message.placements:
-                    fleet.apply_placement_notice(_as_share(each), now)
+                    fleet.apply_placement_notice(_as_notice(each), now)
             case messages.Members():
                 fleet.reachable_router_count = message.reachable
                 fleet.unreachable_router_count = message.unreachable
@@ -229,24 +231,24 @@
                     message.host, message.rates, clock.now()
                 )
             case messages.RecordQuery():
-                await self._answer(link, message)
+                await self._answer_query(link, message)
             case messages.ClaimReply():
-                self._settle_claim(message)
+                self._complete_claim(message)
 
-    def _take_snapshot(self, message: messages.SnapshotMessage) -> None:
+    def _apply_snapshot(self, message: messages.SnapshotMessage) -> None:
         try:
             self.keeper.apply_snapshot(message.payload)
         except errors.ConfigurationError as error:
             _logger.warning("%s", error, extra={"code": error.code})
             return
-        self._adopt()
+        self._apply_configuration()
 
-    def _adopt(self) -> None:
+    def _apply_configuration(self) -> None:
         state = self.keeper.configuration
         table = routing_table.RoutingTable(state.position, state.decoded)
         self.router.apply_table(table)
 
-    def _take_load(self, message: messages.TargetLoad) -> None:
+    def _apply_load(self, message: messages.TargetLoad) -> None:
         fleet = self.router.fleet
         if message.incarnation:
             epoch = warmth.CacheEpoch(
@@ -264,7 +266,7 @@
             ),
         )
 
-    async def _answer(
+    async def _answer_query(
         self, link: link_lib.Link, query: messages.RecordQuery
     ) -> None:
         wanted = record_pages.RecordFilter(
@@ -278,10 +280,10 @@
         data = documents.encode_document(found)
         await link.send(messages.RecordReply(query.query_id, data))
 
-    def _settle_claim(self, reply: messages.ClaimReply) -> None:
+    def _complete_claim(self, reply: messages.ClaimReply) -> None:
         pending = self._claims.get(reply.claim_id)
         if pending is not None:
-            pending.verdict = claims.ClaimResult(reply.verdict)
+            pending.result = claims.ClaimResult(reply.verdict)
             pending.answered.set()
 
 
@@ -290,7 +292,7 @@
 
     def __init__(self):
         self.answered = anyio.Event()
-        self.verdict = claims.ClaimResult.UNAVAILABLE
+        self.result = claims.ClaimResult.UNAVAILABLE
 
 
 def _claim_digest(tenant: str, key: str) -> bytes:
@@ -311,7 +313,7 @@
     )
 
 
-def _as_share(
+def _as_notice(
     placement: messages.SharedPlacement,
 ) -> share_outbox.PlacementNotice:
     pairs = zip(placement.digests, placement.tokens, strict=False)
--- a/hillthread/coordination/engine_roster.py
+++ b/hillthread/coordination/engine_roster.py
@@ -13,7 +13,7 @@
 __all__ = ["EngineRoster"]
 
 # Below any position of a configuration, so that the first look finds it newer.
-_NEVER = -2
+_NO_POSITION = -2
 
 
 class EngineRoster:
@@ -37,23 +37,23 @@
         self.members = members
         self.epochs: dict[str, warmth.CacheEpoch] = {}
         self.seen_at: dict[str, float] = {}
-        self._all: list[objects.Target] = []
-        self._all_position = _NEVER
+        self._engines: list[objects.Target] = []
+        self._engines_position = _NO_POSITION
         self._watched: list[objects.Target] = []
         self._watched_key: tuple[int, tuple[str, ...]] | None = None
 
     def list_all(self) -> list[objects.Target]:
         """Returns all engines of the data centre."""
-        if self._all_position != self.keeper.position:
-            self._all_position = self.keeper.position
-            self._all = [
+        if self._engines_position != self.keeper.position:
+            self._engines_position = self.keeper.position
+            self._engines = [
                 value
                 for value in self.keeper.configuration.decoded.values()
                 if isinstance(value, objects.Target)
                 and value.service == "engine"
                 and value.data_centre == self.data_centre
             ]
-        return self._all
+        return self._engines
 
     def list_watched(self) -> list[objects.Target]:
         """Returns the engines that this host watches.
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -27,11 +27,11 @@
 
 # How far rank alone is trusted to tell where a prefix is warm: while a router
 # is not heard, and while all are heard.
-_PRIOR = 0.7
-_HEARD_PRIOR = 0.1
+_UNREACHABLE_PRIOR = 0.7
+_REACHABLE_PRIOR = 0.1
 # Retries in 10 s beyond what requests earn: a router with few requests still
 # gets over the loss of a target or two.
-_RETRY_EXTRA = 6.0
+_EXTRA_RETRIES = 6.0
 
 
 class PlacementConstraints(NamedTuple):
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Work:
+class _OpenAttempt:
     """An attempt that has not ended."""
 
     target: str
@@ -69,7 +69,7 @@
     expected_prefill: float
     predicted: warmth.WarmPrefix
     sent_at: float
-    alone: bool
+    is_only_request: bool
     first_token_at: float | None = None
 
 
@@ -127,7 +127,7 @@
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
         self.departures = departures.Departures()
         self.backoffs = backoffs.Backoffs()
-        self.work: dict[str, _Work] = {}
+        self.open_attempts: dict[str, _OpenAttempt] = {}
         self.reachable_router_count = 0
         self.unreachable_router_count = 0
         self.outbox = share_outbox.PlacementNoticeOutbox()
@@ -139,7 +139,7 @@
         now: float,
     ) -> decision_lib.Decision:
         """Returns the decision for one attempt."""
-        query = query._replace(prior_probability=self._prior())
+        query = query._replace(prior_probability=self._prior_probability())
         candidates = [
             self._candidate(target, constraints, now)
             for target in constraints.targets
@@ -160,20 +160,20 @@
         self.breakers[name].admit(now)
         beliefs = self.warmth.targets[name]
         predicted = beliefs.lookup(query.levels, now)
-        alone = self.loads[name].count_requests() == 0
+        is_only_request = self.loads[name].count_requests() == 0
         self.loads[name].start(
             attempt_id,
             load.LocalPrefill(now, decision.expected_prefill),
         )
-        self._offer_share(name, query, decision, now)
+        self._notify_routers(name, query, decision, now)
         beliefs.add_pending(query.levels, now)
-        self.work[attempt_id] = _Work(
+        self.open_attempts[attempt_id] = _OpenAttempt(
             name,
             query.levels,
             decision.expected_prefill,
             predicted,
             now,
-            alone,
+            is_only_request,
         )
 
     def apply_placement_notice(
@@ -208,42 +208,42 @@
 
     def record_first_token(self, attempt_id: str, now: float) -> None:
         """Notes the first token of an attempt: its prompt is cached now."""
-        work = self.work.get(attempt_id)
-        if work is None or work.first_token_at is not None:
+        attempt = self.open_attempts.get(attempt_id)
+        if attempt is None or attempt.first_token_at is not None:
             return
-        work.first_token_at = now
-        self.loads[work.target].note_first_token(attempt_id, now)
-        beliefs = self.warmth.targets[work.target]
-        beliefs.remove_pending(work.levels)
-        beliefs.advance_clock(work.expected_prefill)
-        beliefs.confirm(work.levels, now)
+        attempt.first_token_at = now
+        self.loads[attempt.target].note_first_token(attempt_id, now)
+        beliefs = self.warmth.targets[attempt.target]
+        beliefs.remove_pending(attempt.levels)
+        beliefs.advance_clock(attempt.expected_prefill)
+        beliefs.confirm(attempt.levels, now)
 
     def record_usage(self, attempt_id: str, usage: Usage, now: float) -> None:
         """Learns from the usage told at the end of an answer."""
-        work = self.work.get(attempt_id)
-        if work is None:
+        attempt = self.open_attempts.get(attempt_id)
+        if attempt is None:
             return
         computed = usage.prompt_tokens - usage.cached_tokens
-        self.loads[work.target].learn_mean_prefill(computed)
-        if work.alone and work.first_token_at is not None:
-            self.loads[work.target].learn_prefill_rate(
-                computed, work.first_token_at - work.sent_at
+        self.loads[attempt.target].learn_mean_prefill(computed)
+        if attempt.is_only_request and attempt.first_token_at is not None:
+            self.loads[attempt.target].learn_prefill_rate(
+                computed, attempt.first_token_at - attempt.sent_at
             )
-        beliefs = self.warmth.targets[work.target]
+        beliefs = self.warmth.targets[attempt.target]
         beliefs.advance_clock(
-            usage.completion_tokens + computed - work.expected_prefill
+            usage.completion_tokens + computed - attempt.expected_prefill
         )
-        beliefs.learn_horizon(work.predicted, usage.cached_tokens)
-        beliefs.confirm(work.levels, now)
+        beliefs.learn_horizon(attempt.predicted, usage.cached_tokens)
+        beliefs.confirm(attempt.levels, now)
 
     def finish(self, attempt_id: str) -> None:
         """Notes that an attempt has ended in any way; idempotent."""
-        work = self.work.pop(attempt_id, None)
-        if work is None:
+        attempt = self.open_attempts.pop(attempt_id, None)
+        if attempt is None:
             return
-        self.loads[work.target].finish(attempt_id)
-        if work.first_token_at is None:
-            self.warmth.targets[work.target].remove_pending(work.levels)
+        self.loads[attempt.target].finish(attempt_id)
+        if attempt.first_token_at is None:
+            self.warmth.targets[attempt.target].remove_pending(attempt.levels)
 
     def apply_load_report(self, name: str, report: load.LoadReport) -> None:
         """Takes in a load report of a target."""
@@ -262,7 +262,7 @@
         """
         budget = self.budgets.get(pool.name)
         if budget is None:
-            budget = retry_budget.RetryBudget(pool.retry_ratio, _RETRY_EXTRA)
+            budget = retry_budget.RetryBudget(pool.retry_ratio, _EXTRA_RETRIES)
             self.budgets[pool.name] = budget
         budget.ratio = pool.retry_ratio
         return budget
@@ -270,11 +270,11 @@
     def retain(self, targets: Sequence[objects.Target]) -> None:
         """Forgets all that is not in the configuration any more."""
         names = frozenset(target.name for target in targets)
-        busy = {work.target for work in self.work.values()}
-        for gone in self.loads.keys() - names - busy:
-            del self.loads[gone]
-            self.breakers.pop(gone, None)
-            self.departures.forget(gone)
+        busy = {attempt.target for attempt in self.open_attempts.values()}
+        for removed in self.loads.keys() - names - busy:
+            del self.loads[removed]
+            self.breakers.pop(removed, None)
+            self.departures.forget(removed)
         self.warmth.retain(names | busy)
 
     def track(self, target: objects.Target) -> None:
@@ -284,13 +284,13 @@
         self.loads[target.name] = load.TargetLoad(target.prefill_tokens_per_s)
         self.warmth.target(target.name, target.cache_tokens)
 
-    def _prior(self) -> float:
+    def _prior_probability(self) -> float:
         """Returns how far rank alone is trusted to tell of warmth."""
         if self.unreachable_router_count:
-            return _PRIOR
-        return _HEARD_PRIOR if self.reachable_router_count else 0.0
+            return _UNREACHABLE_PRIOR
+        return _REACHABLE_PRIOR if self.reachable_router_count else 0.0
 
-    def _offer_share(
+    def _notify_routers(
         self,
         name: str,
         query: decision_lib.Query,
@@ -319,7 +319,7 @@
         now: float,
     ) -> decision_lib.Candidate:
         self.track(target)
-        self._bound_breaker(target.name, constraints.pool)
+        self._update_breaker(target.name, constraints.pool)
         return decision_lib.Candidate(
             target.name,
             target.max_running,
@@ -328,7 +328,7 @@
             self._exclusion(target, constraints, now),
         )
 
-    def _bound_breaker(self, name: str, pool: objects.Pool) -> None:
+    def _update_breaker(self, name: str, pool: objects.Pool) -> None:
         """Has a target's breaker follow the bounds now in force."""
         breaker = self.breakers.get(name)
         if breaker is None:
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -28,12 +28,12 @@
 __all__ = ["Forwarder"]
 
 # Before a retry a random time up to this is waited, doubled with each attempt.
-_BACKOFF_S = 0.02
+_FIRST_BACKOFF_S = 0.02
 # Targets that change weights at the same time refuse what they do not expect;
 # more than these few refusals in a row count as failures.
-_MOST_NEWS = 4
+_MAX_UNCOUNTED_REFUSALS = 4
 # Bound on telling an engine that an answer is not wanted any more.
-_CANCEL_S = 1.0
+_CANCEL_TIMEOUT_S = 1.0
 
 
 class Forwarder:
@@ -92,7 +92,7 @@
 
     async def _cancel(self, address: str, attempt_id: str) -> None:
         path = engine.STREAMS_PATH + attempt_id
-        with anyio.move_on_after(_CANCEL_S):
+        with anyio.move_on_after(_CANCEL_TIMEOUT_S):
             try:
                 async with self.client.open(
                     address, "DELETE", path, {}, None
@@ -118,7 +118,7 @@
 
     async def _back_off(self, number: int) -> None:
         """Waits a random time that doubles with each attempt."""
-        await anyio.sleep(self.random.uniform(0, _BACKOFF_S * 2**number))
+        await anyio.sleep(self.random.uniform(0, _FIRST_BACKOFF_S * 2**number))
 
 
 class _Job:
@@ -137,9 +137,11 @@
         self.fleet = forwarder.fleet
         self.tried: set[str] = set()
         self.failures = 0
-        self._news = 0
+        self._uncounted_refusals = 0
         self.weights_version = ""
-        self.stream = self._stream_relay() if exchange.is_streamed else None
+        self.stream = (
+            self._make_stream_relay() if exchange.is_streamed else None
+        )
         self.whole = whole_relay.WholeRelay(
             exchange,
             forwarder.client,
@@ -165,7 +167,7 @@
         attempt = await self.forwarder.gate.reserve(
             self.exchange, self._constraints()
         )
-        target = self._target(attempt)
+        target = self._find_target(attempt)
         self._count_decision(attempt)
         beliefs = self.fleet.warmth.targets[target.name]
         expected = attempt_checks.Expectation(
@@ -177,10 +179,10 @@
             breaker.record_success()
             return None
         except target_client.AttemptError as error:
-            self._note_failure(expected, error)
+            self._record_failure(expected, error)
             return error
         finally:
-            self._end(expected)
+            self._finish_attempt(expected)
 
     def _constraints(self) -> fleet_lib.PlacementConstraints:
         resolved = self.exchange.resolved
@@ -192,16 +194,16 @@
             self.weights_version if self.exchange.has_sent_head else "",
         )
 
-    def _target(self, attempt: records.AttemptRecord) -> objects.Target:
+    def _find_target(self, attempt: records.AttemptRecord) -> objects.Target:
         name = attempt.decision.target
         return next(
             each for each in self.exchange.resolved.targets if each.name == name
         )
 
     async def _run(self, expected: attempt_checks.Expectation) -> None:
-        left = self.exchange.deadline - clock.now()
+        remaining_s = self.exchange.deadline - clock.now()
         attempt = expected.attempt
-        with anyio.move_on_after(max(0.0, left)) as scope:
+        with anyio.move_on_after(max(0.0, remaining_s)) as scope:
             if self.stream is not None:
                 await self.stream.run(
                     expected,
@@ -232,7 +234,7 @@
             result[engine.LAST_EVENT_ID] = str(last)
         return result
 
-    def _salt(self) -> str:
+    def _cache_salt(self) -> str:
         return engine.cache_salt(
             self.exchange.tenant.organisation, self.forwarder.settings.secret
         )
@@ -244,13 +246,13 @@
         progress = stream.progress
         if progress.next_index == 0:
             return openai.encode_upstream_body(
-                completion, self._salt(), priority
+                completion, self._cache_salt(), priority
             )
         progress.earlier_tokens = progress.next_index
         self.forwarder.metrics.resumes.labels("continue").inc()
         return openai.encode_continuation_body(
             completion,
-            self._salt(),
+            self._cache_salt(),
             priority,
             progress.relayed_text() or "",
             progress.next_index,
@@ -261,9 +263,11 @@
         if completion is None:
             return self.exchange.parsed.body or None
         priority = self.exchange.resolved.policy.priority
-        return openai.encode_upstream_body(completion, self._salt(), priority)
+        return openai.encode_upstream_body(
+            completion, self._cache_salt(), priority
+        )
 
-    def _stream_relay(self) -> stream_relay.StreamRelay:
+    def _make_stream_relay(self) -> stream_relay.StreamRelay:
         return stream_relay.StreamRelay(
             self.exchange,
             self.forwarder.client,
@@ -277,7 +281,7 @@
         reason = attempt.decision.reason or decision_lib.Reason.LEAST_COST
         self.forwarder.metrics.decisions.labels(reason.value).inc()
 
-    def _note_failure(
+    def _record_failure(
         self,
         expected: attempt_checks.Expectation,
         error: target_client.AttemptError,
@@ -294,17 +298,17 @@
         if error.state is records.AttemptState.REFUSED and (
             epoch != expected.epoch
         ):
-            self._news += 1
-            self.failures += self._news > _MOST_NEWS
+            self._uncounted_refusals += 1
+            self.failures += self._uncounted_refusals > _MAX_UNCOUNTED_REFUSALS
             return
         self.failures += 1
         self.tried.add(name)
 
-    def _end(self, expected: attempt_checks.Expectation) -> None:
+    def _finish_attempt(self, expected: attempt_checks.Expectation) -> None:
         """Runs also when the caller has left and the task is cancelled."""
         attempt = expected.attempt
         attempt.ended_s = self.exchange.elapsed()
-        self._learn(attempt)
+        self._record_usage(attempt)
         self.fleet.breakers[expected.target.name].cancel_probe()
         self.forwarder.gate.release(attempt.attempt_id)
         self.forwarder.metrics.attempts.labels(
@@ -317,7 +321,7 @@
         if attempt.state is not records.AttemptState.UNSENT:
             self.forwarder.cancel(expected.target, attempt.attempt_id)
 
-    def _learn(self, attempt: records.AttemptRecord) -> None:
+    def _record_usage(self, attempt: records.AttemptRecord) -> None:
         usage = self.whole.usage
         if self.stream is not None:
             usage = self.stream.progress.usage
--- a/hillthread/coordination/gate.py
+++ b/hillthread/coordination/gate.py
@@ -23,16 +23,16 @@
 __all__ = ["AdmissionGate"]
 
 # `Retry-After`: a target that is ejected or starting may be back by then.
-_NO_TARGET_RETRY_S = 2.0
+_NO_TARGET_RETRY_AFTER_S = 2.0
 # `Retry-After` when only places are missing, which come back sooner.
-_OVERLOAD_RETRY_S = 1.0
+_OVERLOAD_RETRY_AFTER_S = 1.0
 # Those that wait look again this often, also if nothing woke them.
-_CHECK_S = 0.25
+_RECHECK_INTERVAL_S = 0.25
 _TRIED = decision_lib.Exclusion.ALREADY_TRIED
 _SATURATED = decision_lib.Exclusion.SATURATED
 
 
-class _Need(NamedTuple):
+class _TargetNeed(NamedTuple):
     """What makes two waiting requests need the same targets.
 
     Attributes:
@@ -71,7 +71,7 @@
         self.queues: dict[str, admission.AdmissionQueue] = {}
         self._waiters: dict[admission.Ticket, _Waiter] = {}
         # By pool and model: whoever comes later waits behind these.
-        self._waiting: collections.Counter[tuple[str, str]] = (
+        self._waiting_counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
 
@@ -86,11 +86,11 @@
             RefusalError: There is no target, or no place before the deadline.
         """
         queue = self._queue(constraints)
-        if self._waiting[_line_of(constraints)] == 0:
-            attempt = self._try(exchange, constraints)
+        if self._waiting_counts[_queue_key(constraints)] == 0:
+            attempt = self._try_reserve(exchange, constraints)
             if attempt is not None:
                 return attempt
-        return await self._wait(exchange, constraints, queue)
+        return await self._wait_in_queue(exchange, constraints, queue)
 
     def release(self, attempt_id: str) -> None:
         """Gives back the place of an ended attempt and serves waiters."""
@@ -110,7 +110,7 @@
         queue.capacity = pool.queue_size
         return queue
 
-    def _try(
+    def _try_reserve(
         self,
         exchange: exchange_lib.Exchange,
         constraints: fleet_lib.PlacementConstraints,
@@ -118,12 +118,14 @@
         """Returns a started attempt, or None when all places are taken."""
         now = clock.now()
         decision = self.fleet.choose(exchange.parsed.query, constraints, now)
-        if decision.target is None and _some_excluded(decision, _TRIED):
+        if decision.target is None and _is_any_excluded(decision, _TRIED):
             # All have failed once; one that failed may still be better.
-            again = constraints._replace(tried=frozenset())
-            decision = self.fleet.choose(exchange.parsed.query, again, now)
+            without_tried = constraints._replace(tried=frozenset())
+            decision = self.fleet.choose(
+                exchange.parsed.query, without_tried, now
+            )
         if decision.target is None:
-            if _some_excluded(decision, _SATURATED):
+            if _is_any_excluded(decision, _SATURATED):
                 return None
             exchange.add_attempt(decision).failure = "no_target"
             raise _no_target(exchange)
@@ -132,7 +134,7 @@
         self.fleet.start(attempt.attempt_id, query, decision, now)
         return attempt
 
-    async def _wait(
+    async def _wait_in_queue(
         self,
         exchange: exchange_lib.Exchange,
         constraints: fleet_lib.PlacementConstraints,
@@ -148,20 +150,20 @@
             raise _overloaded(exchange)
         waiter = _Waiter(exchange, constraints, anyio.Event())
         self._waiters[offer.ticket] = waiter
-        line = _line_of(constraints)
-        self._waiting[line] += 1
+        queue_key = _queue_key(constraints)
+        self._waiting_counts[queue_key] += 1
         try:
-            await self._wait_turn(queue, offer.ticket, waiter)
+            await self._wait_until_served(queue, offer.ticket, waiter)
         finally:
             queue.withdraw(offer.ticket)
             self._waiters.pop(offer.ticket, None)
-            self._waiting -= {line: 1}
+            self._waiting_counts -= {queue_key: 1}
             exchange.record.queued_s += clock.now() - started
         if waiter.attempt is None:
             raise waiter.refusal or _overloaded(exchange)
         return waiter.attempt
 
-    async def _wait_turn(
+    async def _wait_until_served(
         self,
         queue: admission.AdmissionQueue,
         ticket: admission.Ticket,
@@ -174,35 +176,37 @@
         """
         try:
             while not waiter.event.is_set():
-                left = ticket.deadline - clock.now()
-                if left <= 0:
+                remaining_s = ticket.deadline - clock.now()
+                if remaining_s <= 0:
                     return
-                with anyio.move_on_after(min(_CHECK_S, left)):
+                with anyio.move_on_after(min(_RECHECK_INTERVAL_S, remaining_s)):
                     await waiter.event.wait()
                 if queue.first() is ticket:
                     self._serve_waiters(queue)
         except anyio.get_cancelled_exc_class():
-            self._undo(waiter)
+            self._release_reserved(waiter)
             raise
 
-    def _undo(self, waiter: _Waiter) -> None:
+    def _release_reserved(self, waiter: _Waiter) -> None:
         if waiter.attempt is not None:
             self.release(waiter.attempt.attempt_id)
 
     def _serve_waiters(self, queue: admission.AdmissionQueue) -> None:
         """Gives free places to those who can use them, in their order."""
-        in_vain: set[_Need] = set()
+        unservable: set[_TargetNeed] = set()
         for ticket in queue.in_order():
             waiter = self._waiters[ticket]
             need = _need_of(waiter.constraints)
-            if need in in_vain:
+            if need in unservable:
                 continue
             try:
-                waiter.attempt = self._try(waiter.exchange, waiter.constraints)
+                waiter.attempt = self._try_reserve(
+                    waiter.exchange, waiter.constraints
+                )
             except errors.RefusalError as refusal:
                 waiter.refusal = refusal
             if waiter.attempt is None and waiter.refusal is None:
-                in_vain.add(need)
+                unservable.add(need)
                 continue
             queue.serve(ticket, clock.now())
             waiter.event.set()
@@ -213,20 +217,20 @@
         waiter.event.set()
 
 
-def _need_of(constraints: fleet_lib.PlacementConstraints) -> _Need:
-    return _Need(
+def _need_of(constraints: fleet_lib.PlacementConstraints) -> _TargetNeed:
+    return _TargetNeed(
         constraints.model, constraints.weights_version, id(constraints.targets)
     )
 
 
-def _line_of(constraints: fleet_lib.PlacementConstraints) -> tuple[str, str]:
+def _queue_key(constraints: fleet_lib.PlacementConstraints) -> tuple[str, str]:
     return constraints.pool.name, constraints.model
 
 
-def _some_excluded(
-    decision: decision_lib.Decision, why: decision_lib.Exclusion
+def _is_any_excluded(
+    decision: decision_lib.Decision, wanted: decision_lib.Exclusion
 ) -> bool:
-    return any(score.exclusion is why for score in decision.scores)
+    return any(score.exclusion is wanted for score in decision.scores)
 
 
 def _no_target(exchange: exchange_lib.Exchange) -> errors.RefusalError:
@@ -236,7 +240,7 @@
         "No target can serve the request now.",
         "Try again later; `hillthread-ctl explain` tells what excluded each.",
         exchange.run_state(),
-        _NO_TARGET_RETRY_S,
+        _NO_TARGET_RETRY_AFTER_S,
     )
 
 
@@ -247,5 +251,5 @@
         "All targets are busy beyond the request's deadline or class.",
         "Try again after the time in Retry-After.",
         exchange.run_state(),
-        _OVERLOAD_RETRY_S,
+        _OVERLOAD_RETRY_AFTER_S,
     )
--- a/hillthread/coordination/intake.py
+++ b/hillthread/coordination/intake.py
@@ -23,9 +23,9 @@
 REPEATABLE_HEADER = "x-hillthread-repeatable"
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 # Tokens for each character of a prompt, before any answer of the model told.
-_FIRST_RATIO = 0.25
+_INITIAL_TOKENS_PER_CHARACTER = 0.25
 # Weight of a new answer in the learned ratio.
-_RATIO_STEP = 0.05
+_RATIO_SMOOTHING = 0.05
 # Models whose ratio is remembered; callers may name any.
 _MAX_MODELS = 64
 
@@ -130,9 +130,11 @@
         if not last.prompt_tokens:
             return float(record.prompt_tokens)
         characters = sum(len(part) for part in completion.parts)
-        measured = last.prompt_tokens / max(1, characters)
-        ratio = self.tokens_per_character.get(completion.model, _FIRST_RATIO)
-        ratio += _RATIO_STEP * (measured - ratio)
+        observed = last.prompt_tokens / max(1, characters)
+        ratio = self.tokens_per_character.get(
+            completion.model, _INITIAL_TOKENS_PER_CHARACTER
+        )
+        ratio += _RATIO_SMOOTHING * (observed - ratio)
         self.tokens_per_character[completion.model] = ratio
         return float(last.prompt_tokens + last.completion_tokens)
 
@@ -153,7 +155,9 @@
     ) -> tuple[prompt.PrefixLevel, ...]:
         if completion is None:
             return ()
-        ratio = self.tokens_per_character.get(completion.model, _FIRST_RATIO)
+        ratio = self.tokens_per_character.get(
+            completion.model, _INITIAL_TOKENS_PER_CHARACTER
+        )
         return prompt.prefix_levels(
             tenant.organisation, completion.model, completion.parts, ratio
         )
@@ -184,8 +188,8 @@
     Calls of plain services may not, but for the safe methods, unless their
     route says so; completions may, unless route or header say otherwise.
     """
-    marked = request.headers.get(REPEATABLE_HEADER, "").lower()
-    if marked == "false":
+    header = request.headers.get(REPEATABLE_HEADER, "").lower()
+    if header == "false":
         return False
     if completion is None and request.method in _SAFE_METHODS:
         return True
--- a/hillthread/coordination/record_pages.py
+++ b/hillthread/coordination/record_pages.py
@@ -11,7 +11,7 @@
 __all__ = ["RecordFilter", "select_records"]
 
 # Records in one answer at most.
-_MAX_LISTED = 200
+_MAX_RECORDS = 200
 
 
 class RecordFilter(NamedTuple):
@@ -41,11 +41,11 @@
         if found is None or not _matches(found, wanted):
             return []
         return [found]
-    limit = min(max(1, wanted.limit), _MAX_LISTED)
-    return list(itertools.islice(_matching(store, wanted), limit))
+    limit = min(max(1, wanted.limit), _MAX_RECORDS)
+    return list(itertools.islice(_iter_matching(store, wanted), limit))
 
 
-def _matching(
+def _iter_matching(
     store: records.RecordStore, wanted: RecordFilter
 ) -> Iterator[records.RequestRecord]:
     return (each for each in store.newest() if _matches(each, wanted))
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -31,8 +31,8 @@
 __all__ = ["Router"]
 
 IDEMPOTENCY_HEADER = "idempotency-key"
-_BUSY_RETRY_S = 1.0
-_NO_LIMITS = objects.Limits()
+_RETRY_AFTER_S = 1.0
+_UNLIMITED = objects.Limits()
 
 _logger = logging.getLogger(__name__)
 
@@ -72,7 +72,7 @@
         self.request_ended = anyio.Event()
         self.demand_shares = shares.DemandShares()
         self.on_finished: Callable[[records.RequestRecord], None] = (
-            _keep_nothing
+            _discard_record
         )
 
     def apply_table(self, table: routing_table.RoutingTable) -> None:
@@ -84,9 +84,9 @@
         for target in table.targets.values():
             if target.data_centre == self.settings.data_centre:
                 self.fleet.track(target)
-        for gone in self.usage.keys() - table.tenants.keys():
-            if self.usage[gone].running == 0:
-                del self.usage[gone]
+        for removed in self.usage.keys() - table.tenants.keys():
+            if self.usage[removed].running == 0:
+                del self.usage[removed]
         self.metrics.position.set(table.position)
 
     def not_ready_reason(self) -> str:
@@ -127,7 +127,7 @@
         arrived = clock.now()
         started: exchange_lib.Exchange | None = None
         try:
-            table = self._check_open()
+            table = self._check_ready()
             tenant = intake_lib.authenticate(table, request)
             record.tenant = tenant.name
             if request.path == openai.MODELS_PATH and request.method == "GET":
@@ -149,16 +149,20 @@
             await self._serve_within_limits(started)
             record.outcome = _outcome(record)
         except errors.RefusalError as refusal:
-            await self._refuse(refusal, record, send, started)
+            await self._send_refusal(refusal, record, send, started)
         except Exception:
             _logger.exception("internal error", extra={"code": "internal"})
-            await self._refuse(_internal(started), record, send, started)
+            await self._send_refusal(
+                _internal_error(started), record, send, started
+            )
 
-    def _check_open(self) -> routing_table.RoutingTable:
+    def _check_ready(self) -> routing_table.RoutingTable:
         if self.table is None:
-            raise _busy("not_ready", "No configuration is in force yet.")
+            raise _unavailable("not_ready", "No configuration is in force yet.")
         if self.inflight > self.settings.limits.max_concurrency:
-            raise _busy("router_busy", "The router serves too many requests.")
+            raise _unavailable(
+                "router_busy", "The router serves too many requests."
+            )
         return self.table
 
     async def _list_models(
@@ -189,7 +193,7 @@
             try:
                 await self._serve_while_connected(exchange)
             except errors.RefusalError as refusal:
-                await self._give_back(exchange, key, refusal)
+                await self._release_claim(exchange, key, refusal)
                 raise
         finally:
             usage.end(
@@ -199,7 +203,7 @@
     def _tenant_usage(self, tenant: objects.Tenant) -> limits.TenantUsage:
         now = clock.now()
         share = 1.0
-        if tenant.limits != _NO_LIMITS:
+        if tenant.limits != _UNLIMITED:
             self.demand_shares.count_request(tenant.name)
             share = self.demand_shares.share(tenant.name, now)
         usage = self.usage.get(tenant.name)
@@ -209,7 +213,7 @@
         usage.set_limits(tenant.limits, share, now)
         return usage
 
-    async def _give_back(
+    async def _release_claim(
         self,
         exchange: exchange_lib.Exchange,
         key: str | None,
@@ -227,10 +231,10 @@
         key = exchange.request.headers.get(IDEMPOTENCY_HEADER)
         if exchange.record.repeatable or key is None:
             return None
-        verdict = await self.claims.claim(
+        claim_result = await self.claims.claim(
             exchange.tenant.name, key, exchange.request_id
         )
-        match verdict:
+        match claim_result:
             case claims_lib.ClaimResult.TAKEN:
                 raise errors.RefusalError(
                     "already_claimed",
@@ -245,7 +249,7 @@
                     503,
                     "It cannot be made sure that the request runs only once.",
                     "Send it again later with the same key.",
-                    retry_after_s=_BUSY_RETRY_S,
+                    retry_after_s=_RETRY_AFTER_S,
                 )
         return key
 
@@ -255,11 +259,11 @@
         refusal: errors.RefusalError | None = None
         async with anyio.create_task_group() as group:
 
-            async def watch() -> None:
+            async def cancel_on_disconnect() -> None:
                 await exchange.request.wait_disconnect()
                 group.cancel_scope.cancel()
 
-            group.start_soon(watch)
+            group.start_soon(cancel_on_disconnect)
             try:
                 await self.forwarder.serve(exchange)
             except errors.RefusalError as error:
@@ -268,7 +272,7 @@
         if refusal is not None:
             raise refusal
 
-    async def _refuse(
+    async def _send_refusal(
         self,
         refusal: errors.RefusalError,
         record: records.RequestRecord,
@@ -298,7 +302,7 @@
             self.on_finished(record)
 
 
-def _keep_nothing(record: records.RequestRecord) -> None:
+def _discard_record(record: records.RequestRecord) -> None:
     """Stands for nobody who keeps records beyond the host."""
     del record
 
@@ -310,7 +314,7 @@
     return "left"
 
 
-def _internal(
+def _internal_error(
     exchange: exchange_lib.Exchange | None,
 ) -> errors.RefusalError:
     run = exchange.run_state() if exchange else errors.RunState.NOT_RUN
@@ -323,11 +327,11 @@
     )
 
 
-def _busy(code: str, message: str) -> errors.RefusalError:
+def _unavailable(code: str, message: str) -> errors.RefusalError:
     return errors.RefusalError(
         code,
         503,
         message,
         "Try again after the time in Retry-After.",
-        retry_after_s=_BUSY_RETRY_S,
+        retry_after_s=_RETRY_AFTER_S,
     )
--- a/hillthread/coordination/share_outbox.py
+++ b/hillthread/coordination/share_outbox.py
@@ -15,11 +15,11 @@
 __all__ = ["PlacementNotice", "PlacementNoticeOutbox"]
 
 # A level that was told of a target is not told again for so long, seconds.
-_TELL_AGAIN_S = 2.0
+_RESEND_INTERVAL_S = 2.0
 # Shares kept for a reader that is slow; the oldest give way.
-_MAX_SHARES = 1024
+_MAX_NOTICES = 1024
 # Levels whose last telling is remembered.
-_MAX_TOLD = 8192
+_MAX_SENT_LEVELS = 8192
 
 
 class PlacementNotice(NamedTuple):
@@ -54,10 +54,12 @@
 
     def __init__(self):
         self.notices: collections.deque[PlacementNotice] = collections.deque(
-            maxlen=_MAX_SHARES
+            maxlen=_MAX_NOTICES
         )
         self.on_ready: Callable[[], None] = _do_nothing
-        self._told_at: cachetools.LRUCache = cachetools.LRUCache(_MAX_TOLD)
+        self._sent_at: cachetools.LRUCache = cachetools.LRUCache(
+            _MAX_SENT_LEVELS
+        )
 
     def add_placement(
         self,
@@ -76,11 +78,11 @@
             levels: Those that other prompts may share.
             now: Steady time, seconds.
         """
-        fresh = tuple(
-            level for level in levels if self._note(target, level, now)
+        due_levels = tuple(
+            level for level in levels if self._mark_if_due(target, level, now)
         )
         self.notices.append(
-            PlacementNotice(target, *epoch, prefill_tokens, fresh)
+            PlacementNotice(target, *epoch, prefill_tokens, due_levels)
         )
         self.on_ready()
 
@@ -90,10 +92,15 @@
         self.notices.clear()
         return notices
 
-    def _note(self, target: str, level: prompt.PrefixLevel, now: float) -> bool:
+    def _mark_if_due(
+        self, target: str, level: prompt.PrefixLevel, now: float
+    ) -> bool:
         """Returns whether a level is to be told, and notes that it is."""
         key = (target, level.digest)
-        if now - self._told_at.get(key, -_TELL_AGAIN_S) < _TELL_AGAIN_S:
+        if (
+            now - self._sent_at.get(key, -_RESEND_INTERVAL_S)
+            < _RESEND_INTERVAL_S
+        ):
             return False
-        self._told_at[key] = now
+        self._sent_at[key] = now
         return True
--- a/hillthread/coordination/stream_progress.py
+++ b/hillthread/coordination/stream_progress.py
@@ -12,8 +12,8 @@
 
 __all__ = ["StreamFault", "StreamProgress"]
 
-_MAX_KEPT_BYTES = 2_097_152
-_USAGE = b'"usage"'
+_MAX_RETAINED_BYTES = 2_097_152
+_USAGE_FIELD = b'"usage"'
 _EMPTY_CHOICES = (b'"choices":[]', b'"choices": []')
 
 
@@ -65,8 +65,8 @@
         self.duplicate_count = 0
         self.fault: StreamFault | None = None
         self.earlier_tokens = 0
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._retained: list[bytes] = []
+        self._retained_bytes = 0
 
     def begin_attempt(self, attempt_id: str) -> None:
         """Expects the events of an attempt from `next_index` on."""
@@ -96,14 +96,14 @@
         if event.index is not None and event.index != self.next_index:
             return self._handle_out_of_order(event.index)
         self.next_index += 1
-        return self._relayed(event)
+        return self._relay(event)
 
     def relayed_text(self) -> str | None:
         """Returns the text relayed so far, or None when too long to keep."""
-        if self._kept_bytes > _MAX_KEPT_BYTES:
+        if self._retained_bytes > _MAX_RETAINED_BYTES:
             return None
         texts = []
-        for data in self._kept:
+        for data in self._retained:
             for choice in _chunk_decoder.decode(data).choices:
                 texts.append(choice.text or "")
                 if choice.delta is not None:
@@ -117,31 +117,31 @@
             self.fault = StreamFault.GAP
         return b""
 
-    def _relayed(self, event: event_stream.Event) -> bytes:
-        if _USAGE in event.data and _has_no_choices(event.data):
-            return self._usage_chunk(event)
-        self._kept_bytes += len(event.data)
-        if self._kept_bytes <= _MAX_KEPT_BYTES:
-            self._kept.append(event.data)
-        return self._as_first_attempt(event.raw)
+    def _relay(self, event: event_stream.Event) -> bytes:
+        if _USAGE_FIELD in event.data and _has_no_choices(event.data):
+            return self._relay_usage(event)
+        self._retained_bytes += len(event.data)
+        if self._retained_bytes <= _MAX_RETAINED_BYTES:
+            self._retained.append(event.data)
+        return self._with_first_attempt_id(event.raw)
 
-    def _usage_chunk(self, event: event_stream.Event) -> bytes:
+    def _relay_usage(self, event: event_stream.Event) -> bytes:
         self.usage = engine.decode_usage(event.data)
         if not self.wants_usage:
             return b""
         if self.earlier_tokens == 0 or self.usage is None:
-            return self._as_first_attempt(event.raw)
+            return self._with_first_attempt_id(event.raw)
         chunk: dict[str, Any] = msgspec.json.decode(event.data)
         chunk["usage"]["prompt_tokens"] -= self.earlier_tokens
         chunk["usage"]["completion_tokens"] += self.earlier_tokens
         raw = event_stream.encode_event(event.index, msgspec.json.encode(chunk))
-        return self._as_first_attempt(raw)
+        return self._with_first_attempt_id(raw)
 
-    def _as_first_attempt(self, raw: bytes) -> bytes:
+    def _with_first_attempt_id(self, raw: bytes) -> bytes:
         if self.attempt_id == self.first_attempt_id:
             return raw
         return raw.replace(self.attempt_id, self.first_attempt_id)
 
 
 def _has_no_choices(data: bytes) -> bool:
-    return any(mark in data for mark in _EMPTY_CHOICES)
+    return any(pattern in data for pattern in _EMPTY_CHOICES)
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -31,11 +31,11 @@
     (b"cache-control", b"no-store"),
 ]
 # How often a broken stream is asked for again on the same incarnation.
-_RESUMES = 2
+_MAX_RESUMES = 2
 # Pause before the first of them; each further one waits as much longer.
 _RESUME_PAUSE_S = 0.05
 # Bound on reading to the end of an answer, so that its connection can be kept.
-_DRAIN_S = 0.5
+_DRAIN_TIMEOUT_S = 0.5
 
 
 class StreamRelay:
@@ -95,7 +95,7 @@
     ) -> None:
         self.checker.check(response, expected)
         if response.status_code != 200:
-            await self._relay_refusal(response, expected)
+            await self._relay_error_answer(response, expected)
             return
         splitter = event_stream.EventSplitter(self.max_event_bytes)
         chunks = self.client.read(response)
@@ -104,7 +104,7 @@
             if self.progress.done:
                 break
         if not self.progress.done:
-            raise self._fault(
+            raise self._fault_error(
                 stream_progress.StreamFault.TRUNCATED
                 if self.progress.next_index
                 else stream_progress.StreamFault.EMPTY
@@ -128,18 +128,18 @@
         if data:
             await self._send(data, expected)
         if self.progress.fault is not None:
-            raise self._fault(self.progress.fault)
+            raise self._fault_error(self.progress.fault)
 
     async def _send(
         self, data: bytes, expected: attempt_checks.Expectation
     ) -> None:
         if expected.attempt.first_token_s is None:
-            self._note_first_token(expected.attempt)
+            self._record_first_token(expected.attempt)
         if not self.exchange.has_sent_head:
             await self.exchange.begin_answer(200, _STREAM_HEADERS)
         await self.exchange.send_chunk(data)
 
-    def _note_first_token(self, attempt: records.AttemptRecord) -> None:
+    def _record_first_token(self, attempt: records.AttemptRecord) -> None:
         attempt.first_token_s = self.exchange.elapsed()
         self.fleet.record_first_token(attempt.attempt_id, clock.now())
         if not self.exchange.has_sent_head:
@@ -155,14 +155,14 @@
         """Ends the caller's answer, then reads on to free the connection."""
         expected.attempt.state = records.AttemptState.ANSWERED
         await self.exchange.end_answer()
-        with anyio.move_on_after(_DRAIN_S):
+        with anyio.move_on_after(_DRAIN_TIMEOUT_S):
             try:
                 async for _ in chunks:
                     pass
             except target_client.AttemptError:
                 return
 
-    async def _relay_refusal(
+    async def _relay_error_answer(
         self,
         response: target_client.TargetResponse,
         expected: attempt_checks.Expectation,
@@ -174,9 +174,9 @@
                 records.AttemptState.ACCEPTED,
                 f"status {response.status_code} to a continued stream",
             )
-        kind = response.headers.get("content-type", "application/json")
+        content_type = response.headers.get("content-type", "application/json")
         await self.exchange.begin_answer(
-            response.status_code, [(b"content-type", kind.encode())]
+            response.status_code, [(b"content-type", content_type.encode())]
         )
         await self.exchange.end_answer(data)
         expected.attempt.state = records.AttemptState.ANSWERED
@@ -210,16 +210,16 @@
         weights = expected.attempt.weights_version
         if not incarnation and expected.epoch is not None:
             incarnation, weights = expected.epoch
-        again = expected._replace(
+        resumed = expected._replace(
             epoch=warmth.CacheEpoch(incarnation, weights),
             requires_same_incarnation=True,
         )
-        for number in range(_RESUMES):
+        for number in range(_MAX_RESUMES):
             await anyio.sleep(_RESUME_PAUSE_S * (number + 1))
             self.progress.begin_attempt(expected.attempt.attempt_id)
             before = self.progress.next_index
             try:
-                await self._resume_once(again)
+                await self._resume_once(resumed)
             except target_client.AttemptError:
                 if self.progress.next_index == before:
                     continue
@@ -249,7 +249,7 @@
                 )
             await self._relay(response, expected)
 
-    def _fault(
+    def _fault_error(
         self, fault: stream_progress.StreamFault
     ) -> target_client.AttemptError:
         self.metrics.mismatches.labels(fault.value).inc()
--- a/hillthread/coordination/target_watch.py
+++ b/hillthread/coordination/target_watch.py
@@ -23,15 +23,15 @@
 __all__ = ["TargetWatch"]
 
 # For a whole answer, however its parts come.
-_TIMEOUT_S = 1.0
+_READ_TIMEOUT_S = 1.0
 # Wait for the loads that are told together; a target takes milliseconds.
-_ROUND_S = 0.1
-_LIST_POLL_S = 1.0
+_ROUND_WAIT_S = 0.1
+_LIST_POLL_INTERVAL_S = 1.0
 
 _logger = logging.getLogger(__name__)
 
 
-class _Listed(msgspec.Struct):
+class _ListedTarget(msgspec.Struct):
     """One line of the platform's host list."""
 
     name: str
@@ -40,7 +40,7 @@
 
 
 class _HostList(msgspec.Struct):
-    targets: list[_Listed]
+    targets: list[_ListedTarget]
 
 
 class _Round:
@@ -56,12 +56,12 @@
     def __init__(self, targets: list[objects.Target]):
         self.loads: list[messages.TargetLoad] = []
         self.reading = {target.name for target in targets}
-        self.told = False
+        self.is_sent = False
         self.complete = anyio.Event()
         if not targets:
             self.complete.set()
 
-    def end(self, target: objects.Target) -> None:
+    def finish(self, target: objects.Target) -> None:
         """Notes that a target's read has ended in any way."""
         self.reading.discard(target.name)
         if not self.reading:
@@ -85,7 +85,9 @@
         self.node = node
         self.failures = 0
         self.reading: set[str] = set()
-        self.client = httpx.AsyncClient(trust_env=False, timeout=_TIMEOUT_S)
+        self.client = httpx.AsyncClient(
+            trust_env=False, timeout=_READ_TIMEOUT_S
+        )
 
     async def run_loads(self) -> None:
         """Reads the loads of assigned targets until cancelled."""
@@ -93,8 +95,10 @@
             while True:
                 started = clock.now()
                 await self._run_round(group)
-                passed = clock.now() - started
-                await anyio.sleep(max(0.0, self.settings.load_poll_s - passed))
+                elapsed_s = clock.now() - started
+                await anyio.sleep(
+                    max(0.0, self.settings.load_poll_s - elapsed_s)
+                )
 
     async def _run_round(self, group: anyio.abc.TaskGroup) -> None:
         """Reads all targets that are not being read; tells what comes soon."""
@@ -103,15 +107,15 @@
             for target in self.node.engines.list_watched()
             if target.name not in self.reading
         ]
-        reads = _Round(targets)
+        poll_round = _Round(targets)
         for target in targets:
             self.reading.add(target.name)
-            group.start_soon(self._read, target, reads)
-        with anyio.move_on_after(_ROUND_S):
-            await reads.complete.wait()
-        reads.told = True
-        if reads.loads:
-            self.node.publish_loads(messages.Loads(reads.loads))
+            group.start_soon(self._read, target, poll_round)
+        with anyio.move_on_after(_ROUND_WAIT_S):
+            await poll_round.complete.wait()
+        poll_round.is_sent = True
+        if poll_round.loads:
+            self.node.publish_loads(messages.Loads(poll_round.loads))
 
     async def run_host_list(self) -> None:
         """Reads the platform's host list until cancelled."""
@@ -122,10 +126,10 @@
             try:
                 response = await self._get(url)
                 listed = msgspec.json.decode(response.content, type=_HostList)
-                self._take_list(listed)
+                self._apply_host_list(listed)
             except (httpx.HTTPError, TimeoutError, msgspec.DecodeError):
                 self.failures += 1
-            await anyio.sleep(_LIST_POLL_S)
+            await anyio.sleep(_LIST_POLL_INTERVAL_S)
 
     async def _get(self, url: str) -> httpx.Response:
         """Returns an answer that came whole in time.
@@ -135,22 +139,22 @@
             TimeoutError: It took too long; the client's own limit is for each
                 part of it.
         """
-        with anyio.fail_after(_TIMEOUT_S):
+        with anyio.fail_after(_READ_TIMEOUT_S):
             return await self.client.get(url)
 
-    async def _read(self, target: objects.Target, reads: _Round) -> None:
+    async def _read(self, target: objects.Target, poll_round: _Round) -> None:
         """Reads one target; tells its load if the round is told already."""
         try:
             load = await self._read_load(target)
             if load is None:
                 return
-            if reads.told:
+            if poll_round.is_sent:
                 self.node.publish_loads(messages.Loads([load]))
             else:
-                reads.loads.append(load)
+                poll_round.loads.append(load)
         finally:
             self.reading.discard(target.name)
-            reads.end(target)
+            poll_round.finish(target)
 
     async def _read_load(
         self, target: objects.Target
@@ -177,7 +181,7 @@
             epoch.weights_version,
         )
 
-    def _take_list(self, listed: _HostList) -> None:
+    def _apply_host_list(self, listed: _HostList) -> None:
         for line in listed.targets:
             state = messages.TargetState(
                 line.name, line.incarnation, line.state == "leaving"
--- a/hillthread/coordination/whole_relay.py
+++ b/hillthread/coordination/whole_relay.py
@@ -19,7 +19,7 @@
 __all__ = ["WholeRelay"]
 
 
-_SHORT_BYTES = 65_536
+_MAX_BUFFERED_BYTES = 65_536
 
 
 class _Answer(msgspec.Struct):
@@ -78,15 +78,17 @@
     async def _relay_plain(
         self, response: target_client.TargetResponse
     ) -> None:
-        passed = headers_lib.filter_answer_headers(response.header_items)
+        answer_headers = headers_lib.filter_answer_headers(
+            response.header_items
+        )
         status = response.status_code
         length = response.headers.get("content-length", "")
-        if length.isdigit() and int(length) <= _SHORT_BYTES:
-            data = await self.client.read_all(response, _SHORT_BYTES)
-            await self.exchange.begin_answer(status, passed)
+        if length.isdigit() and int(length) <= _MAX_BUFFERED_BYTES:
+            data = await self.client.read_all(response, _MAX_BUFFERED_BYTES)
+            await self.exchange.begin_answer(status, answer_headers)
             await self.exchange.end_answer(data)
             return
-        await self.exchange.begin_answer(status, passed)
+        await self.exchange.begin_answer(status, answer_headers)
         async for chunk in self.client.read(response):
             await self.exchange.send_chunk(chunk)
         await self.exchange.end_answer()
@@ -100,8 +102,10 @@
         if response.status_code == 200:
             self._check_whole(data, expected.attempt)
             self.usage = engine.decode_usage(data)
-        passed = headers_lib.filter_answer_headers(response.header_items)
-        await self.exchange.begin_answer(response.status_code, passed)
+        answer_headers = headers_lib.filter_answer_headers(
+            response.header_items
+        )
+        await self.exchange.begin_answer(response.status_code, answer_headers)
         await self.exchange.end_answer(data)
 
     def _check_whole(self, data: bytes, attempt: records.AttemptRecord) -> None:
--- a/tests/coordination/test_attempt_checks.py
+++ b/tests/coordination/test_attempt_checks.py
@@ -22,7 +22,7 @@
         )
         self.target = test_fleet.make_target("t0")
 
-    def refuse(self, status, **headers):
+    def check_refusal(self, status, **headers):
         """Has the target refuse an attempt."""
         response = types.SimpleNamespace(
             status_code=status,
@@ -46,15 +46,15 @@
 
     # Guards against requests to a target that shed load with a Retry-After
     # whose time is not over.
-    def test_target_is_left_alone_for_its_backoff(self):
-        self.refuse(503, retry_after="30")
+    def test_target_is_excluded_during_its_backoff(self):
+        self.check_refusal(503, retry_after="30")
         now = clock.now()
         backing_off = decision.Exclusion.BACKING_OFF
         self.assertEqual(self.exclusion(now), backing_off)
         self.assertIsNone(self.exclusion(now + 31.0))
 
-    def test_other_refusals_ask_for_no_backoff(self):
-        self.refuse(503)
-        self.refuse(503, retry_after="soon")
-        self.refuse(429, retry_after="30")
+    def test_other_refusals_start_no_backoff(self):
+        self.check_refusal(503)
+        self.check_refusal(503, retry_after="soon")
+        self.check_refusal(429, retry_after="30")
         self.assertIsNone(self.exclusion(clock.now()))
--- a/tests/coordination/test_fleet.py
+++ b/tests/coordination/test_fleet.py
@@ -80,7 +80,7 @@
         self.fleet.departures.mark_live("t0", "i3")
         self.assertIsNone(self.exclusion(self.targets[0]))
 
-    def test_places_are_taken_at_once_and_given_back_once(self):
+    def test_slots_are_reserved_at_start_and_released_once(self):
         names = [self.start(str(number)) for number in range(4)]
         self.assertEqual(sorted(names), ["t0", "t0", "t1", "t1"])
         self.assertIsNone(self.choose().target)
@@ -88,13 +88,13 @@
         self.fleet.finish("0")
         self.assertEqual(self.choose().target, names[0])
 
-    def test_continuing_needs_the_same_weights(self):
+    def test_continuation_needs_the_same_weights(self):
         self.choose()
         self.fleet.observe_epoch("t0", warmth.CacheEpoch("i", "w2"))
         found = self.choose(weights_version="w1")
         self.assertEqual(found.target, "t1")
 
-    def test_new_weights_drop_warmth(self):
+    def test_new_weights_clear_warmth(self):
         name = self.start("a")
         self.fleet.observe_epoch(name, EPOCH)
         self.fleet.record_first_token("a", 0.1)
@@ -103,7 +103,7 @@
         for score in self.choose().scores:
             self.assertEqual(score.warm_tokens, 0)
 
-    def test_changed_ratio_keeps_the_retries_already_made(self):
+    def test_changed_ratio_keeps_the_count_of_retries(self):
         """Each change would give a new burst of retries."""
         budget = self.fleet.retry_budget(POOL)
         while budget.withdraw(0.0):
@@ -112,7 +112,7 @@
         self.assertFalse(self.fleet.retry_budget(changed).withdraw(1.0))
         self.assertEqual(self.fleet.retry_budget(changed).ratio, 0.3)
 
-    def test_changed_bounds_of_a_pool_reach_breakers(self):
+    def test_breakers_follow_changed_pool_bounds(self):
         self.choose()
         breaker = self.fleet.breakers["t0"]
         changed = msgspec.structs.replace(POOL, eject_after=3, eject_s=7.0)
@@ -124,7 +124,7 @@
         self.assertIs(self.fleet.breakers["t0"], breaker)
         self.assertEqual((breaker.eject_after, breaker.eject_s), (3, 7.0))
 
-    def test_count_of_a_former_incarnation_hides_no_insertions(self):
+    def test_restart_resets_the_count_of_inserted_tokens(self):
         """A restarted engine counts from zero; others fill its cache, too."""
         target = self.targets[0]
         self.fleet.track(target)
@@ -137,7 +137,7 @@
         self.report("t0", 1_000.0 + 2 * 10_000)
         self.assertEqual(beliefs.lookup(QUERY.levels, 1.0).tokens, 0)
 
-    def test_new_weights_keep_the_count_of_the_incarnation(self):
+    def test_new_weights_keep_the_count_of_inserted_tokens(self):
         self.fleet.track(self.targets[0])
         self.fleet.observe_epoch("t0", EPOCH)
         self.report("t0", 5_000_000.0)
@@ -153,7 +153,7 @@
         )
 
 
-class ShareTest(unittest.TestCase):
+class PlacementNoticeTest(unittest.TestCase):
     def setUp(self):
         self.fleets = [fleet_lib.Fleet("dc1") for _ in range(2)]
         self.constraints = fleet_lib.PlacementConstraints(
@@ -165,14 +165,14 @@
             for name in ("t0", "t1"):
                 fleet.observe_epoch(name, EPOCH)
 
-    def place(self):
+    def place_request(self):
         fleet = self.fleets[0]
         found = fleet.choose(QUERY, self.constraints, 0.0)
         fleet.start("a", QUERY, found, 0.0)
         return found.target, fleet.outbox.drain()
 
-    def test_others_learn_warmth_and_load(self):
-        name, notices = self.place()
+    def test_notice_updates_warmth_and_load_of_other_routers(self):
+        name, notices = self.place_request()
         for notice in notices:
             self.fleets[1].apply_placement_notice(notice, 0.0)
         score = next(
@@ -185,15 +185,15 @@
         self.assertEqual(score.warm_tokens, 2000)
         self.assertGreater(score.queue_s, 0)
 
-    def test_share_of_another_epoch_is_passed_over(self):
-        name, notices = self.place()
+    def test_notice_of_another_epoch_is_ignored(self):
+        name, notices = self.place_request()
         self.fleets[1].observe_epoch(name, EPOCH._replace(incarnation="i2"))
         self.fleets[1].apply_placement_notice(notices[0], 0.0)
         self.assertEqual(self.fleets[1].warmth.targets[name].levels, {})
 
-    def test_same_level_is_not_told_again_at_once(self):
-        _, first = self.place()
+    def test_same_level_is_not_sent_again_at_once(self):
+        _, first = self.place_request()
         self.fleets[0].finish("a")
-        _, second = self.place()
+        _, second = self.place_request()
         self.assertEqual(len(first[0].levels), 1)
         self.assertEqual(second[0].levels, ())
--- a/tests/coordination/test_forwarder.py
+++ b/tests/coordination/test_forwarder.py
@@ -10,7 +10,7 @@
 from hillthread.transport import target_client
 
 _EPOCH = types.SimpleNamespace(weights_version="w1")
-_OTHER = types.SimpleNamespace(weights_version="w2")
+_NEW_EPOCH = types.SimpleNamespace(weights_version="w2")
 
 
 class ForwarderTest(unittest.IsolatedAsyncioTestCase):
@@ -27,13 +27,13 @@
         self.exchange.run_state.return_value = errors.RunState.NOT_RUN
         self.sends = 0
 
-    async def serve(self, refusals, learns):
+    async def serve(self, refusals, has_new_weights):
         """Serves a request that is refused so often; returns its sends."""
-        made = mock.Mock(spec=forwarder.Forwarder, fleet=self.fleet)
-        made.client = made.checker = made.settings = mock.Mock()
-        made.metrics = mock.Mock()
-        made._back_off = mock.AsyncMock()
-        made._may_retry.return_value = True
+        fake = mock.Mock(spec=forwarder.Forwarder, fleet=self.fleet)
+        fake.client = fake.checker = fake.settings = mock.Mock()
+        fake.metrics = mock.Mock()
+        fake._back_off = mock.AsyncMock()
+        fake._may_retry.return_value = True
         test = self
 
         async def attempt(job):
@@ -41,8 +41,8 @@
             if test.sends > refusals:
                 return None
             name = f"t{test.sends}"
-            known = _OTHER if learns else _EPOCH
-            belief = types.SimpleNamespace(epoch=known)
+            believed = _NEW_EPOCH if has_new_weights else _EPOCH
+            belief = types.SimpleNamespace(epoch=believed)
             test.fleet.warmth.targets[name] = belief
             expected = mock.Mock(epoch=_EPOCH)
             expected.target.name = name
@@ -50,22 +50,22 @@
             error = target_client.AttemptError(
                 refused, "refused", targets_fault=False
             )
-            job._note_failure(expected, error)
+            job._record_failure(expected, error)
             return error
 
         with mock.patch.object(forwarder._Job, "attempt", attempt):
-            await forwarder.Forwarder.serve(made, self.exchange)
+            await forwarder.Forwarder.serve(fake, self.exchange)
         return self.sends
 
-    async def test_targets_that_all_changed_weights_are_asked_again(self):
-        self.assertEqual(await self.serve(refusals=4, learns=True), 5)
+    async def test_refusals_with_a_new_epoch_use_no_attempts(self):
+        self.assertEqual(await self.serve(refusals=4, has_new_weights=True), 5)
 
-    async def test_refusals_that_tell_nothing_use_up_the_attempts(self):
+    async def test_refusals_with_the_same_epoch_use_attempts(self):
         with self.assertRaises(errors.RefusalError):
-            await self.serve(refusals=4, learns=False)
+            await self.serve(refusals=4, has_new_weights=False)
         self.assertEqual(self.sends, 3)
 
-    async def test_news_without_end_are_failures_in_the_end(self):
+    async def test_many_refusals_with_a_new_epoch_count_as_failures(self):
         with self.assertRaises(errors.RefusalError):
-            await self.serve(refusals=99, learns=True)
+            await self.serve(refusals=99, has_new_weights=True)
         self.assertEqual(self.sends, 7)
--- a/tests/coordination/test_gate.py
+++ b/tests/coordination/test_gate.py
@@ -54,7 +54,7 @@
         except errors.RefusalError as refusal:
             self.outcomes[exchange.name] = refusal.code
 
-    async def test_waiter_gets_the_place_that_is_given_back(self):
+    async def test_waiter_gets_the_released_slot(self):
         await self.reserve(Exchange("a"))
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, Exchange("b"))
@@ -63,7 +63,7 @@
             self.gate.release("a")
         self.assertEqual(self.outcomes["b"], "b")
 
-    async def test_lower_class_is_shed_at_once(self):
+    async def test_lower_class_is_shed_when_the_queue_is_full(self):
         await self.reserve(Exchange("a"))
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, Exchange("low", priority=5))
@@ -74,7 +74,7 @@
             self.gate.release("a")
         self.assertEqual(self.outcomes["high"], "high")
 
-    async def test_waiter_whose_targets_leave_is_told_so(self):
+    async def test_waiter_whose_targets_leave_is_refused_with_no_target(self):
         await self.reserve(Exchange("a"))
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, Exchange("b"))
@@ -108,7 +108,7 @@
         await self.gate.reserve(Exchange(name, priority), constraints)
         self.served.append(name)
 
-    async def test_waiter_without_a_place_holds_up_no_other_model(self):
+    async def test_saturated_model_does_not_block_another_model(self):
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, "b", "m")
@@ -120,7 +120,7 @@
             self.gate.release("a")
         self.assertEqual(self.served, ["a", "c", "b"])
 
-    async def test_freed_place_goes_past_who_cannot_use_it(self):
+    async def test_released_slot_skips_waiters_of_another_model(self):
         await self.reserve("a", "m")
         await self.reserve("c", "n")
         async with anyio.create_task_group() as group:
@@ -143,7 +143,7 @@
                 await anyio.wait_all_tasks_blocked()
         self.assertEqual(self.served, ["a", "e", "b", "d"])
 
-    async def test_newcomer_waits_behind_others_of_its_model(self):
+    async def test_new_request_waits_behind_others_of_its_model(self):
         """Also when a place has come free that nobody was told of."""
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
@@ -158,7 +158,7 @@
             self.gate.release("b")
         self.assertEqual(self.served, ["a", "b", "d"])
 
-    async def test_old_targets_of_a_waiter_hold_up_no_newer_ones(self):
+    async def test_waiter_with_old_targets_does_not_block_newer_requests(self):
         """A target has joined since; who came before does not know it."""
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
--- a/tests/coordination/test_metric_set.py
+++ b/tests/coordination/test_metric_set.py
@@ -7,13 +7,13 @@
 
 
 class BoundedLabelsTest(unittest.TestCase):
-    def test_labels_beyond_the_bound_share_one(self):
+    def test_labels_beyond_the_bound_share_one_series(self):
         labels = metric_set.BoundedLabels()
         admitted = [labels.admit(number) for number in range(300)]
         self.assertEqual(sum(admitted), 256)
         self.assertTrue(labels.admit(0))
 
-    def test_organisations_without_number_do_not_fill_the_page(self):
+    def test_number_of_tenant_series_is_bounded(self):
         router = metrics.RouterMetrics()
         for number in range(2200):
             router.observe_first_token(f"t{number}", 0.1)
--- a/tests/coordination/test_stream_progress.py
+++ b/tests/coordination/test_stream_progress.py
@@ -31,7 +31,7 @@
         self.assertTrue(self.progress.done)
         self.assertEqual(self.progress.accept(event(1)), b"")
 
-    def test_overlap_is_dropped_and_gap_is_a_fault(self):
+    def test_duplicates_are_dropped_and_gap_is_a_fault(self):
         for index in (0, 1, 0, 1):
             self.progress.accept(event(index))
         self.assertEqual(self.progress.duplicate_count, 2)
@@ -39,20 +39,20 @@
         self.progress.accept(event(3))
         self.assertEqual(self.progress.fault, stream_progress.StreamFault.GAP)
 
-    def test_another_attempts_event_is_a_fault(self):
+    def test_event_of_another_attempt_is_a_fault(self):
         self.progress.accept(event(0, attempt="x-1"))
         self.assertEqual(
             self.progress.fault, stream_progress.StreamFault.WRONG_ATTEMPT
         )
 
-    def test_continued_events_look_like_the_first_attempts(self):
+    def test_continued_events_carry_the_first_attempt_id(self):
         self.progress.accept(event(0))
         self.progress.begin_attempt("r-2")
         relayed = self.progress.accept(event(1, attempt="r-2"))
         self.assertEqual(relayed, event(1).raw)
         self.assertEqual(self.progress.relayed_text(), "w w ")
 
-    def test_usage_of_a_continued_answer_counts_all(self):
+    def test_usage_of_a_continued_answer_counts_all_attempts(self):
         self.progress.begin_attempt("r-2")
         self.progress.next_index = 3
         self.progress.earlier_tokens = 3
@@ -66,7 +66,7 @@
         self.assertIn(b'"prompt_tokens":10', raw)
         self.assertIn(b'"completion_tokens":5', raw)
 
-    def test_unwanted_usage_is_kept_from_the_caller(self):
+    def test_usage_that_was_not_requested_is_not_relayed(self):
         progress = stream_progress.StreamProgress(wants_usage=False)
         progress.begin_attempt("r-1")
         data = b'{"id":"r-1","choices":[],"usage":{"prompt_tokens":1}}'
--- a/tests/coordination/test_target_watch.py
+++ b/tests/coordination/test_target_watch.py
@@ -26,7 +26,7 @@
 
     def __init__(self, targets):
         self.targets = targets
-        self.told = {}
+        self.sent_at = {}
         self.states = []
         self.engines = self
 
@@ -35,13 +35,13 @@
 
     def publish_loads(self, message):
         for each in message.loads:
-            self.told.setdefault(each.target, []).append(time.monotonic())
+            self.sent_at.setdefault(each.target, []).append(time.monotonic())
 
     def publish_target_state(self, state):
         self.states.append(state)
 
 
-async def drip():
+async def drip_body():
     """A page whose parts come too often for a timeout between two."""
     while True:
         yield b"#\n"
@@ -54,14 +54,14 @@
         self.list_calls = 0
         self.answers = {}
 
-    async def answer(self, request):
+    async def respond(self, request):
         self.list_calls += request.url.host == "list"
         match self.answers.get(request.url.host):
             case "hang":
                 await anyio.sleep(1.0)
                 raise httpx.ReadTimeout("silent")
             case "drip":
-                return httpx.Response(200, content=drip())
+                return httpx.Response(200, content=drip_body())
             case "slow":
                 await anyio.sleep(2.5 * POLL_S)
         headers = {engine.INCARNATION: "i1", engine.WEIGHTS_VERSION: "w1"}
@@ -69,50 +69,50 @@
         page += f"{engine.METRIC_RUNNING} 1.0\n"
         return httpx.Response(200, headers=headers, text=page)
 
-    async def watch(self, run_s, list_too=False):
+    async def watch(self, run_s, with_host_list=False):
         settings = types.SimpleNamespace(
-            load_poll_s=POLL_S, host_list="list:1" if list_too else None
+            load_poll_s=POLL_S, host_list="list:1" if with_host_list else None
         )
         watch = target_watch.TargetWatch(settings, self.node)
         watch.client = httpx.AsyncClient(
-            transport=httpx.MockTransport(self.answer)
+            transport=httpx.MockTransport(self.respond)
         )
         with anyio.move_on_after(run_s):
-            if list_too:
+            if with_host_list:
                 await watch.run_host_list()
             await watch.run_loads()
         return watch
 
     def longest_gap_s(self, name):
-        told = self.node.told[name]
-        return max(b - a for a, b in itertools.pairwise(told))
+        sent_at = self.node.sent_at[name]
+        return max(b - a for a, b in itertools.pairwise(sent_at))
 
-    async def test_all_are_told_each_round(self):
+    async def test_loads_are_sent_each_round(self):
         await self.watch(2.0)
         for name in ("t0", "t1"):
-            self.assertGreater(len(self.node.told[name]), 6)
+            self.assertGreater(len(self.node.sent_at[name]), 6)
 
-    async def test_silent_target_holds_up_no_other(self):
+    async def test_silent_target_does_not_delay_others(self):
         self.answers = {"t0": "hang"}
         watch = await self.watch(3.0)
-        self.assertGreater(len(self.node.told["t1"]), 8)
+        self.assertGreater(len(self.node.sent_at["t1"]), 8)
         self.assertLess(self.longest_gap_s("t1"), 0.8)
         self.assertGreater(watch.failures, 1)
 
-    async def test_dripping_target_holds_up_no_other(self):
+    async def test_dripping_target_does_not_delay_others(self):
         self.answers = {"t0": "drip"}
         watch = await self.watch(3.0)
-        self.assertGreater(len(self.node.told["t1"]), 8)
+        self.assertGreater(len(self.node.sent_at["t1"]), 8)
         self.assertGreater(watch.failures, 1)
 
-    async def test_slow_target_is_told_with_a_later_round(self):
+    async def test_load_of_a_slow_target_is_sent_later(self):
         self.answers = {"t0": "slow"}
         await self.watch(3.0)
-        self.assertGreater(len(self.node.told["t0"]), 2)
-        self.assertGreater(len(self.node.told["t1"]), 8)
+        self.assertGreater(len(self.node.sent_at["t0"]), 2)
+        self.assertGreater(len(self.node.sent_at["t1"]), 8)
 
-    async def test_dripping_host_list_is_given_up(self):
+    async def test_dripping_host_list_times_out(self):
         self.answers = {"list": "drip"}
-        watch = await self.watch(5.0, list_too=True)
+        watch = await self.watch(5.0, with_host_list=True)
         self.assertGreater(self.list_calls, 1)
         self.assertGreater(watch.failures, 0)
