--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the head of a target's answer, before anything is relayed."""
+"""Checks the head of a target's answer before any of it is relayed."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 
 
 class Expectation(NamedTuple):
-    """What the answer of one attempt must say.
+    """What the head of an attempt's answer is checked against.
 
     Attributes:
-        target: Who is asked.
+        target: The target of the attempt.
         attempt: The attempt.
         epoch: The target's epoch when the attempt was sent, or None.
-        must_echo: Whether the target echoes attempt ids; engines do.
-        strict_incarnation: Whether another incarnation is an error.
+        must_echo: Whether the target must echo the attempt id; engines do.
+        requires_same_incarnation: Whether an answer of another incarnation is
+            an error.
     """
 
     target: objects.Target
@@ -39,7 +40,7 @@
 
 
 class HeadChecker:
-    """Compares the head of an answer with what was asked."""
+    """Compares the head of an answer with the request of the attempt."""
 
     def __init__(
         self, fleet: fleet_lib.Fleet, metrics: metrics_lib.RouterMetrics
@@ -50,11 +51,12 @@
     def check(
         self, response: target_client.TargetResponse, expected: Expectation
     ) -> None:
-        """Learns from the head and accepts it.
+        """Records the target's state from the head and accepts the answer.
 
         Raises:
-            AttemptError: It is another attempt's answer, a refusal, or ran
-                on other weights than expected.
+            AttemptError: The answer belongs to another attempt, is a refusal
+                or a server error, or ran on other weights or another
+                incarnation than expected.
         """
         self._check_identity(response, expected)
         epoch = self._record_epoch(response, expected)
@@ -105,7 +107,7 @@
     def _apply_backoff(
         self, response: target_client.TargetResponse, target: str
     ) -> None:
-        """Applies the back-off that a target which sheds load asks for."""
+        """Starts the back-off that a target requests with `Retry-After`."""
         if response.status_code != http.HTTPStatus.SERVICE_UNAVAILABLE:
             return
         text = response.headers.get("retry-after", "")
--- a/hillthread/coordination/claims.py
+++ b/hillthread/coordination/claims.py
@@ -1,4 +1,4 @@
-"""Claims: a request that must not be repeated runs at most once."""
+"""Claims on idempotency keys: a non-repeatable request runs at most once."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 __all__ = ["ClaimStore", "ClaimResult", "LocalClaims"]
 
-# Bound on memory where a router runs without a log.
+# Bounds the memory of a router that runs without a log.
 _MAX_CLAIMS = 100_000
-# As long as the claims on the log; see claim_keeper.
+# Equal to the lifetime of claims on the log; see claim_keeper.
 _CLAIM_TTL_S = 3_600.0
 
 
 class ClaimResult(enum.StrEnum):
-    """The answer to a claim."""
+    """The result of a claim."""
 
     GRANTED = "granted"
     TAKEN = "taken"
@@ -24,24 +24,24 @@
 
 
 class ClaimStore(abc.ABC):
-    """Where an idempotency key is claimed before a request is sent."""
+    """A store of claims, made on idempotency keys before requests are sent."""
 
     @abc.abstractmethod
     async def claim(self, tenant: str, key: str, holder: str) -> ClaimResult:
-        """Claims a tenant's key for `holder`, an id of the request.
+        """Claims a tenant's key for `holder`, the id of a request.
 
         Returns:
-            `GRANTED` to exactly one holder of a key; `UNAVAILABLE` when it
-            cannot be known, and then the request must not be sent.
+            `GRANTED` to exactly one holder of a key; `UNAVAILABLE` if the
+            store cannot tell, in which case the request must not be sent.
         """
 
     @abc.abstractmethod
     async def release(self, tenant: str, key: str, holder: str) -> None:
-        """Gives a granted key back: its request surely did not run."""
+        """Releases a granted key; its request is proven not to have run."""
 
 
 class LocalClaims(ClaimStore):
-    """Claims in this process only: for a single router without a log."""
+    """Claims in the memory of a single router that runs without a log."""
 
     def __init__(self):
         self.holders: cachetools.TTLCache = cachetools.TTLCache(
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -27,29 +27,32 @@
 
 __all__ = ["ControlClient"]
 
-# Demand and finished records are told this often.
+# Interval at which demand and finished records are sent.
 _DEMAND_INTERVAL_S = 1.0
-# One in so many records of plainly answered requests goes to the log.
+# One record is sent to the log for this many requests that were answered at the
+# first attempt.
 _SAMPLE_INTERVAL_RECORDS = 100
-# Bound on handing over records at a stop.
+# Bound on sending queued records when the process stops.
 _FLUSH_TIMEOUT_S = 2.0
-# Records that wait for the link; the oldest are dropped and counted.
+# Records queued for the link; beyond this, the oldest are dropped and counted.
 _MAX_QUEUED_RECORDS = 500
-# Pause before the control process is dialled again.
+# Pause before reconnecting to the control process.
 _RECONNECT_PAUSE_S = 0.2
-# Bound on waiting for the verdict on a claim.
+# Bound on waiting for the result of a claim.
 _CLAIM_TIMEOUT_S = 4.0
 
 _logger = logging.getLogger(__name__)
 
 
 class ControlClient(claims.ClaimStore):
-    """Takes configuration and news in, tells placements, asks for claims.
+    """Exchanges state with the control process and makes claims through it.
 
-    The router serves on with what it has while the link is down.
+    It receives the configuration and notices of targets and peers, and sends
+    placement notices, demand and finished records. The router continues to
+    serve with its last state while the link is down.
 
     Attributes:
-        keeper: The configuration as the control process passed it on.
+        keeper: The configuration that the control process forwarded.
         link: The open link, or None.
     """
 
@@ -120,9 +123,10 @@
             return
 
     def enqueue_record(self, record: records.RequestRecord) -> None:
-        """Queues a finished record that is worth keeping on the log.
+        """Queues a finished record for the log, unless sampling drops it.
 
-        All that were not plainly answered are, and a sample of the rest.
+        Requests that were answered at the first attempt are sampled; the
+        records of all others are queued.
         """
         is_plain = record.outcome == "answered" and len(record.attempts) == 1
         self._plain_count = (
@@ -136,7 +140,7 @@
             self.router.metrics.records_lost.inc()
 
     async def flush(self) -> None:
-        """Sends what must not be lost with this process."""
+        """Sends the queued records before the process stops."""
         if self.link is None:
             return
         with anyio.move_on_after(_FLUSH_TIMEOUT_S):
@@ -173,7 +177,11 @@
             )
 
     async def _send_placements(self, link: link_lib.Link) -> None:
-        """Tells a placement at once, further ones after a fixed time."""
+        """Sends placement notices.
+
+        A notice is sent at once if none was sent recently; others are
+        collected until the pause after the last message is over.
+        """
         fleet = self.router.fleet
         while True:
             ready = anyio.Event()
@@ -189,7 +197,7 @@
             await anyio.sleep(self.router.settings.share_every_s)
 
     async def _send_demand_and_records(self, link: link_lib.Link) -> None:
-        """Tells demand and finished records, at fixed intervals."""
+        """Sends demand and finished records at fixed intervals."""
         while True:
             await anyio.sleep(_DEMAND_INTERVAL_S)
             rates = self.router.demand_shares.end_interval(clock.now())
@@ -288,7 +296,7 @@
 
 
 class _PendingClaim:
-    """A claim that waits for its verdict."""
+    """A claim that waits for its result."""
 
     def __init__(self):
         self.answered = anyio.Event()
--- a/hillthread/coordination/engine_roster.py
+++ b/hillthread/coordination/engine_roster.py
@@ -1,4 +1,4 @@
-"""The engines of one data centre, and those that one host watches."""
+"""The engines of a data centre, and the ones that one host watches."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 __all__ = ["EngineRoster"]
 
-# Below any position of a configuration, so that the first look finds it newer.
+# Below any configuration position, so that the first call builds the list.
 _NO_POSITION = -2
 
 
 class EngineRoster:
-    """The engines that the configuration names, shared out among live hosts.
+    """The configured engines, and their distribution among the live hosts.
 
     Attributes:
-        epochs: What each engine was last seen to run, by name.
-        seen_at: Monotonic seconds, when it was seen.
+        epochs: The last reported epoch of each engine, by name.
+        seen_at: Time of the last load report, in monotonic seconds, by name.
     """
 
     def __init__(
@@ -58,8 +58,8 @@
     def list_watched(self) -> list[objects.Target]:
         """Returns the engines that this host watches.
 
-        They change with the configuration and the live hosts only; ranking
-        all targets at each poll would cost more than reading them.
+        The list is cached until the configuration or the live hosts change:
+        ranking all targets at each poll would cost more than reading them.
         """
         alive = self.members.list_alive(self.data_centre)
         hosts = sorted([*alive, self.host])
@@ -74,7 +74,7 @@
         return self._watched
 
     def apply_loads(self, message: messages.Loads) -> None:
-        """Notes the epochs that came with loads."""
+        """Records the epochs in load reports."""
         now = clock.now()
         for load in message.loads:
             self.seen_at[load.target] = now
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -1,4 +1,4 @@
-"""What one router knows of all targets, and its decisions on them."""
+"""One router's state of all targets, and its choices among them."""
 
 from __future__ import annotations
 
@@ -25,24 +25,24 @@
     "make_query",
 ]
 
-# How far rank alone is trusted to tell where a prefix is warm: while a router
-# is not heard, and while all are heard.
+# Probability that the first-ranked target has cached a prefix that is unknown
+# here: while any other router is unreachable, and while all are reachable.
 _UNREACHABLE_PRIOR = 0.7
 _REACHABLE_PRIOR = 0.1
-# Retries in 10 s beyond what requests earn: a router with few requests still
-# gets over the loss of a target or two.
+# Retries in 10 s beyond what requests accrue, so that a router with few
+# requests can still retry after the loss of one or two targets.
 _EXTRA_RETRIES = 6.0
 
 
 class PlacementConstraints(NamedTuple):
-    """Which targets one attempt may go to.
+    """Constraints on the target of one attempt.
 
     Attributes:
         targets: All targets of the route.
-        pool: Whose bounds apply.
-        model: The model asked for, or empty for plain services.
-        tried: Targets that earlier attempts of the request failed on.
-        weights_version: Weights an answer must continue with, or empty.
+        pool: The pool whose bounds apply.
+        model: The requested model, or empty for plain services.
+        tried: Targets on which earlier attempts of the request failed.
+        weights_version: Weights that must continue an answer, or empty.
     """
 
     targets: Sequence[objects.Target]
@@ -53,7 +53,7 @@
 
 
 class Usage(NamedTuple):
-    """Tokens of one answer, as the engine told them."""
+    """Token counts of one answer, as reported by the engine."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -62,7 +62,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _OpenAttempt:
-    """An attempt that has not ended."""
+    """An attempt that has not ended.
+
+    Attributes:
+        target: The chosen target.
+        levels: The prefix levels of the prompt.
+        expected_prefill: Expected uncached tokens.
+        predicted: The longest prefix that was expected to be cached.
+        sent_at: Monotonic seconds.
+        is_only_request: Whether the target had no other request then.
+        first_token_at: Monotonic seconds, or None before the first token.
+    """
 
     target: str
     levels: tuple[prompt.PrefixLevel, ...]
@@ -78,8 +88,8 @@
 ) -> bytes:
     """Returns the key by which all routers rank the targets of a prompt.
 
-    It is the deepest level that other prompts are likely to share: all but
-    the last message.
+    The key is the digest of the deepest level that other prompts are likely
+    to share: all but the last message.
     """
     if not levels:
         return fallback
@@ -104,14 +114,21 @@
     """Loads, beliefs, breakers and departures of all targets.
 
     Attributes:
-        data_centre: Only targets of it are eligible.
-        decide: The policy; baselines for comparison have their own.
-        departures: Targets that leave.
-        backoffs: Targets that shed load and want no request for a while.
-        outbox: What is still to be told to other routers.
-        heard_routers: Other routers of the data centre whose shares come in.
-        silent_routers: Other routers of the data centre that are not heard.
-            With any, a prefix unknown here is expected where they place it.
+        data_centre: Only targets of this data centre are eligible.
+        decide: The placement policy; benchmarks replace it by baselines.
+        warmth: Beliefs about which prefixes the targets have cached.
+        loads: Load of each target, by name.
+        breakers: Circuit breaker of each target, by name.
+        budgets: Retry budget of each pool, by name.
+        departures: Targets that are leaving.
+        backoffs: Targets that shed load and are excluded for some time.
+        open_attempts: Attempts that have not ended, by id.
+        reachable_router_count: Other routers of the data centre whose
+            placement notices arrive.
+        unreachable_router_count: Other routers of the data centre whose
+            notices do not arrive. If there are any, an unknown prefix is
+            expected to be cached on the target that they would choose.
+        outbox: Placement notices to be sent to other routers.
     """
 
     def __init__(
@@ -153,7 +170,7 @@
         decision: decision_lib.Decision,
         now: float,
     ) -> None:
-        """Notes that an attempt is about to be sent to its target."""
+        """Records that an attempt is about to be sent to its target."""
         name = decision.target
         if name is None:
             return
@@ -179,10 +196,10 @@
     def apply_placement_notice(
         self, notice: share_outbox.PlacementNotice, now: float
     ) -> None:
-        """Takes in what another router told.
+        """Applies a placement notice of another router.
 
-        A target unknown here, or told of under another epoch than the one
-        known here, is passed over.
+        A notice is ignored if its target is unknown here, or if its epoch
+        differs from the one known here.
         """
         beliefs = self.warmth.targets.get(notice.target)
         if beliefs is None:
@@ -197,9 +214,9 @@
             beliefs.add_from_peer(level, now)
 
     def observe_epoch(self, name: str, epoch: warmth.CacheEpoch) -> bool:
-        """Notes the epoch a target named; returns whether it is another.
+        """Records the epoch that a target named; returns whether it is new.
 
-        All beliefs of the former epoch are dropped.
+        A new epoch clears all beliefs about the previous one.
         """
         changed = self.warmth.enter_epoch(name, epoch)
         if changed and name in self.loads:
@@ -207,7 +224,7 @@
         return changed
 
     def record_first_token(self, attempt_id: str, now: float) -> None:
-        """Notes the first token of an attempt: its prompt is cached now."""
+        """Records the first token of an attempt: its prompt is cached now."""
         attempt = self.open_attempts.get(attempt_id)
         if attempt is None or attempt.first_token_at is not None:
             return
@@ -219,7 +236,7 @@
         beliefs.confirm(attempt.levels, now)
 
     def record_usage(self, attempt_id: str, usage: Usage, now: float) -> None:
-        """Learns from the usage told at the end of an answer."""
+        """Updates estimates from the usage at the end of an answer."""
         attempt = self.open_attempts.get(attempt_id)
         if attempt is None:
             return
@@ -237,7 +254,7 @@
         beliefs.confirm(attempt.levels, now)
 
     def finish(self, attempt_id: str) -> None:
-        """Notes that an attempt has ended in any way; idempotent."""
+        """Records that an attempt has ended in any way; idempotent."""
         attempt = self.open_attempts.pop(attempt_id, None)
         if attempt is None:
             return
@@ -246,7 +263,7 @@
             self.warmth.targets[attempt.target].remove_pending(attempt.levels)
 
     def apply_load_report(self, name: str, report: load.LoadReport) -> None:
-        """Takes in a load report of a target."""
+        """Applies a load report of a target."""
         if name not in self.loads:
             return
         self.loads[name].update(report)
@@ -258,7 +275,8 @@
     def retry_budget(self, pool: objects.Pool) -> retry_budget.RetryBudget:
         """Returns the retry budget of a pool.
 
-        A changed ratio keeps what was spent: it must not give a new burst.
+        A changed ratio keeps the count of retries, so that it does not allow
+        a new burst.
         """
         budget = self.budgets.get(pool.name)
         if budget is None:
@@ -268,7 +286,7 @@
         return budget
 
     def retain(self, targets: Sequence[objects.Target]) -> None:
-        """Forgets all that is not in the configuration any more."""
+        """Drops targets that are neither configured nor serve an attempt."""
         names = frozenset(target.name for target in targets)
         busy = {attempt.target for attempt in self.open_attempts.values()}
         for removed in self.loads.keys() - names - busy:
@@ -278,14 +296,14 @@
         self.warmth.retain(names | busy)
 
     def track(self, target: objects.Target) -> None:
-        """Makes sure that there is state for a target."""
+        """Creates the state of a target if there is none."""
         if target.name in self.loads:
             return
         self.loads[target.name] = load.TargetLoad(target.prefill_tokens_per_s)
         self.warmth.target(target.name, target.cache_tokens)
 
     def _prior_probability(self) -> float:
-        """Returns how far rank alone is trusted to tell of warmth."""
+        """Returns the probability that rank alone predicts a cached prefix."""
         if self.unreachable_router_count:
             return _UNREACHABLE_PRIOR
         return _REACHABLE_PRIOR if self.reachable_router_count else 0.0
@@ -329,7 +347,7 @@
         )
 
     def _update_breaker(self, name: str, pool: objects.Pool) -> None:
-        """Has a target's breaker follow the bounds now in force."""
+        """Creates a target's breaker or updates its bounds from the pool."""
         breaker = self.breakers.get(name)
         if breaker is None:
             breaker = health.CircuitBreaker(pool.eject_after, pool.eject_s)
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -1,4 +1,4 @@
-"""Serves one request: attempts, retries and the final answer."""
+"""Serves requests: makes attempts, retries them and returns the answer."""
 
 from __future__ import annotations
 
@@ -27,21 +27,22 @@
 
 __all__ = ["Forwarder"]
 
-# Before a retry a random time up to this is waited, doubled with each attempt.
+# Upper bound of the random pause before a retry; doubles with each failure.
 _FIRST_BACKOFF_S = 0.02
-# Targets that change weights at the same time refuse what they do not expect;
-# more than these few refusals in a row count as failures.
+# Refusals of one request that reveal a new epoch of the target and do not count
+# as failures: targets that change weights at the same time refuse requests for
+# the former weights. Further ones do count.
 _MAX_UNCOUNTED_REFUSALS = 4
-# Bound on telling an engine that an answer is not wanted any more.
+# Bound on the request that cancels an answer at an engine.
 _CANCEL_TIMEOUT_S = 1.0
 
 
 class Forwarder:
-    """Carries requests to targets and answers back.
+    """Forwards requests to targets and relays their answers.
 
     Attributes:
-        fleet: What is known of the targets.
-        gate: Hands out places on targets.
+        fleet: The state of the targets.
+        gate: Reserves slots on targets.
     """
 
     def __init__(
@@ -65,10 +66,11 @@
         )
 
     async def serve(self, exchange: exchange_lib.Exchange) -> None:
-        """Answers the request whole.
+        """Serves one request until its answer is complete.
 
         Raises:
-            RefusalError: It cannot be; its run state is true.
+            RefusalError: No attempt gave a complete answer; the error's run
+                state tells whether a target may have run the request.
         """
         job = _Job(self, exchange)
         budget = self.fleet.retry_budget(exchange.resolved.pool)
@@ -86,7 +88,7 @@
             raise _refusal(exchange, failure)
 
     def cancel(self, target: objects.Target, attempt_id: str) -> None:
-        """Has an engine stop computing an answer nobody waits for."""
+        """Cancels an answer at an engine; does nothing for other targets."""
         if target.service == "engine":
             self.tasks.start_soon(self._cancel, target.address, attempt_id)
 
@@ -117,7 +119,7 @@
         return budget.withdraw(clock.now())
 
     async def _back_off(self, number: int) -> None:
-        """Waits a random time that doubles with each attempt."""
+        """Waits a random time whose bound doubles with each failure."""
         await anyio.sleep(self.random.uniform(0, _FIRST_BACKOFF_S * 2**number))
 
 
@@ -125,10 +127,12 @@
     """All attempts at one request.
 
     Attributes:
-        tried: Targets that must not be taken again.
-        failures: Attempts that failed, but for refusals that told something
-            new of their target: it may be taken again at once.
-        weights_version: What the answer has begun with.
+        tried: Targets that failed; they are excluded from further attempts.
+        failures: Failed attempts. A refusal that revealed a new epoch of its
+            target does not count, and the target may be chosen again at once.
+        weights_version: Weights of the latest attempt that reported them.
+        stream: The relay of a streamed answer, or None.
+        whole: The relay of an answer that is not streamed.
     """
 
     def __init__(self, forwarder: Forwarder, exchange: exchange_lib.Exchange):
@@ -163,7 +167,7 @@
         return self.stream.progress.relayed_text() is not None
 
     async def attempt(self) -> target_client.AttemptError | None:
-        """Makes one attempt; returns why it failed, or None."""
+        """Makes one attempt; returns its error, or None on success."""
         attempt = await self.forwarder.gate.reserve(
             self.exchange, self._constraints()
         )
@@ -305,7 +309,12 @@
         self.tried.add(name)
 
     def _finish_attempt(self, expected: attempt_checks.Expectation) -> None:
-        """Runs also when the caller has left and the task is cancelled."""
+        """Records the end of an attempt and releases its slot.
+
+        Runs also when the caller has disconnected and the task is cancelled.
+        An attempt that may have been sent and was not answered is cancelled
+        at the engine.
+        """
         attempt = expected.attempt
         attempt.ended_s = self.exchange.elapsed()
         self._record_usage(attempt)
@@ -361,17 +370,17 @@
         return errors.RefusalError(
             "deadline",
             504,
-            "The request's deadline passed.",
-            "Raise the route's timeout_s, or ask for a shorter answer.",
+            "The deadline of the request has passed.",
+            "Raise the route's timeout_s, or request a shorter answer.",
             run,
         )
     remedy = "Send the request again."
     if run is not errors.RunState.NOT_RUN and not exchange.record.repeatable:
-        remedy = "It may have run: find out before sending it again."
+        remedy = "It may have run: check its outcome before sending it again."
     return errors.RefusalError(
         "target_failed",
         502,
-        f"No target completed the request; the last failure: {reason}.",
+        f"No target completed the request; last failure: {reason}.",
         remedy,
         run,
         1.0 if run is errors.RunState.NOT_RUN else None,
--- a/hillthread/coordination/gate.py
+++ b/hillthread/coordination/gate.py
@@ -1,7 +1,8 @@
-"""Admission: a request gets a target at once, waits its turn, or is refused.
+"""Admission: reserves a slot on a target, queues or refuses a request.
 
-A pool has one queue for all its models. Turns are kept among requests that need
-the same targets: one that finds none of its own free holds up no other.
+A pool has one queue for all its models. Order is kept among requests that need
+the same targets: a request whose targets are all saturated does not block
+requests that need others.
 """
 
 from __future__ import annotations
@@ -22,24 +23,25 @@
 
 __all__ = ["AdmissionGate"]
 
-# `Retry-After`: a target that is ejected or starting may be back by then.
+# `Retry-After` when no target is eligible: one that is ejected or starting may
+# be eligible by then.
 _NO_TARGET_RETRY_AFTER_S = 2.0
-# `Retry-After` when only places are missing, which come back sooner.
+# `Retry-After` when all slots are in use; slots become free sooner.
 _OVERLOAD_RETRY_AFTER_S = 1.0
-# Those that wait look again this often, also if nothing woke them.
+# The first waiter checks for a free slot this often even if nothing woke it.
 _RECHECK_INTERVAL_S = 0.25
 _TRIED = decision_lib.Exclusion.ALREADY_TRIED
 _SATURATED = decision_lib.Exclusion.SATURATED
 
 
 class _TargetNeed(NamedTuple):
-    """What makes two waiting requests need the same targets.
+    """Requirements on a target; waiters with equal ones need the same targets.
 
     Attributes:
-        model: The model asked for.
-        weights_version: Weights an answer must continue with, or empty.
-        targets: Identity of the route's targets, which all its requests share
-            until a newer configuration has others.
+        model: The requested model.
+        weights_version: Weights that must continue an answer, or empty.
+        targets: Identity of the route's list of targets; all requests of the
+            route share the list until a newer configuration replaces it.
     """
 
     model: str
@@ -59,18 +61,18 @@
 
 
 class AdmissionGate:
-    """Hands out places on targets, the most urgent class first.
+    """Reserves slots on targets, the most urgent priority first.
 
     Attributes:
-        fleet: What is known of the targets.
-        queues: The waiting requests of each pool.
+        fleet: The state of the targets.
+        queues: The waiting requests of each pool, by name.
     """
 
     def __init__(self, fleet: fleet_lib.Fleet):
         self.fleet = fleet
         self.queues: dict[str, admission.AdmissionQueue] = {}
         self._waiters: dict[admission.Ticket, _Waiter] = {}
-        # By pool and model: whoever comes later waits behind these.
+        # Waiters by pool and model; later requests queue behind them.
         self._waiting_counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
@@ -80,20 +82,21 @@
         exchange: exchange_lib.Exchange,
         constraints: fleet_lib.PlacementConstraints,
     ) -> records.AttemptRecord:
-        """Returns a started attempt, its place taken.
+        """Returns a started attempt whose slot is reserved.
 
         Raises:
-            RefusalError: There is no target, or no place before the deadline.
+            RefusalError: No target is eligible, the queue is full, or no slot
+                becomes free before the deadline.
         """
         queue = self._queue(constraints)
-        if self._waiting_counts[_queue_key(constraints)] == 0:
+        if self._waiting_counts[_pool_and_model(constraints)] == 0:
             attempt = self._try_reserve(exchange, constraints)
             if attempt is not None:
                 return attempt
         return await self._wait_in_queue(exchange, constraints, queue)
 
     def release(self, attempt_id: str) -> None:
-        """Gives back the place of an ended attempt and serves waiters."""
+        """Releases the slot of an ended attempt and serves waiters."""
         self.fleet.finish(attempt_id)
         for queue in self.queues.values():
             self._serve_waiters(queue)
@@ -115,11 +118,12 @@
         exchange: exchange_lib.Exchange,
         constraints: fleet_lib.PlacementConstraints,
     ) -> records.AttemptRecord | None:
-        """Returns a started attempt, or None when all places are taken."""
+        """Returns a started attempt, or None if all slots are in use."""
         now = clock.now()
         decision = self.fleet.choose(exchange.parsed.query, constraints, now)
         if decision.target is None and _is_any_excluded(decision, _TRIED):
-            # All have failed once; one that failed may still be better.
+            # All eligible targets have failed once; one of them is better
+            # than none.
             without_tried = constraints._replace(tried=frozenset())
             decision = self.fleet.choose(
                 exchange.parsed.query, without_tried, now
@@ -150,14 +154,14 @@
             raise _overloaded(exchange)
         waiter = _Waiter(exchange, constraints, anyio.Event())
         self._waiters[offer.ticket] = waiter
-        queue_key = _queue_key(constraints)
-        self._waiting_counts[queue_key] += 1
+        pool_and_model = _pool_and_model(constraints)
+        self._waiting_counts[pool_and_model] += 1
         try:
             await self._wait_until_served(queue, offer.ticket, waiter)
         finally:
             queue.withdraw(offer.ticket)
             self._waiters.pop(offer.ticket, None)
-            self._waiting_counts -= {queue_key: 1}
+            self._waiting_counts -= {pool_and_model: 1}
             exchange.record.queued_s += clock.now() - started
         if waiter.attempt is None:
             raise waiter.refusal or _overloaded(exchange)
@@ -171,8 +175,8 @@
     ) -> None:
         """Returns when served, shed or past the deadline.
 
-        A place may also come free without a release, when a target joins or
-        is probed again, so the first in line looks from time to time.
+        A slot may also become free without a release, when a target joins or
+        is probed again, so the first waiter checks at fixed intervals.
         """
         try:
             while not waiter.event.is_set():
@@ -192,7 +196,7 @@
             self.release(waiter.attempt.attempt_id)
 
     def _serve_waiters(self, queue: admission.AdmissionQueue) -> None:
-        """Gives free places to those who can use them, in their order."""
+        """Gives free slots to the waiters that can use them, in queue order."""
         unservable: set[_TargetNeed] = set()
         for ticket in queue.in_order():
             waiter = self._waiters[ticket]
@@ -223,7 +227,9 @@
     )
 
 
-def _queue_key(constraints: fleet_lib.PlacementConstraints) -> tuple[str, str]:
+def _pool_and_model(
+    constraints: fleet_lib.PlacementConstraints,
+) -> tuple[str, str]:
     return constraints.pool.name, constraints.model
 
 
@@ -238,7 +244,7 @@
         "no_target",
         503,
         "No target can serve the request now.",
-        "Try again later; `hillthread-ctl explain` tells what excluded each.",
+        "Retry later; `hillthread-ctl explain` shows why each was excluded.",
         exchange.run_state(),
         _NO_TARGET_RETRY_AFTER_S,
     )
@@ -248,8 +254,8 @@
     return errors.RefusalError(
         "overloaded",
         503,
-        "All targets are busy beyond the request's deadline or class.",
-        "Try again after the time in Retry-After.",
+        "No target has a free slot for the request's deadline and priority.",
+        "Retry after the time in Retry-After.",
         exchange.run_state(),
         _OVERLOAD_RETRY_AFTER_S,
     )
--- a/hillthread/coordination/intake.py
+++ b/hillthread/coordination/intake.py
@@ -1,4 +1,4 @@
-"""Takes in a caller's request: who asks, what for, and by which route."""
+"""Reads a caller's request: authenticates, parses and routes it."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 REPEATABLE_HEADER = "x-hillthread-repeatable"
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-# Tokens for each character of a prompt, before any answer of the model told.
+# Estimate until the first answer of a model reports its prompt tokens.
 _INITIAL_TOKENS_PER_CHARACTER = 0.25
-# Weight of a new answer in the learned ratio.
+# Weight of a new answer in the smoothed ratio.
 _RATIO_SMOOTHING = 0.05
-# Models whose ratio is remembered; callers may name any.
+# Bound on the models with a ratio of their own, as callers may name any model.
 _MAX_MODELS = 64
 
 
 class ParsedRequest(NamedTuple):
-    """What a request asks for.
+    """A request after parsing and routing.
 
     Attributes:
-        body: The request's whole body.
-        completion: The checked completion request; None for plain services.
+        body: The complete body of the request.
+        completion: The validated completion request; None for plain services.
         resolved: Route, policy, pool and targets.
-        query: What is asked of the decision.
+        query: The input to the choice of a target.
     """
 
     body: bytes
@@ -49,7 +49,7 @@
 def authenticate(
     table: routing_table.RoutingTable, request: http_server.Request
 ) -> objects.Tenant:
-    """Returns the tenant whose key a request carries.
+    """Returns the tenant of a request's bearer key.
 
     Raises:
         RefusalError: The key is missing or unknown.
@@ -67,11 +67,12 @@
 
 
 class Intake:
-    """Reads requests and learns how long the tokens of a model are.
+    """Reads requests and estimates the number of tokens in their prompts.
 
     Attributes:
-        limits: Bounds on callers.
-        ratios: Tokens for each character, by model.
+        limits: Bounds on the requests of callers.
+        tokens_per_character: Smoothed ratio of prompt tokens to characters,
+            by model.
     """
 
     def __init__(self, limits: settings_lib.CallerLimits):
@@ -87,10 +88,10 @@
         request: http_server.Request,
         record: records.RequestRecord,
     ) -> ParsedRequest:
-        """Returns what a request asks for and notes it in its record.
+        """Reads, parses and routes a request, and fills in its record.
 
         Raises:
-            RefusalError: It is invalid, too large, too slow or not routed.
+            RefusalError: It is invalid, too large, too slow or has no route.
         """
         body = await self._read_body(request)
         completion = _parse(request, body)
@@ -100,8 +101,8 @@
             raise errors.RefusalError(
                 "no_route",
                 404,
-                f"No route leads from {request.path} for model {model!r}.",
-                "Ask for a model of /v1/models or a path that is routed.",
+                f"No route matches {request.path} with model {model!r}.",
+                "Use a model listed by /v1/models, or a path with a route.",
             )
         levels = self._levels(tenant, completion)
         query = fleet_lib.make_query(
@@ -122,7 +123,11 @@
     def record_usage(
         self, parsed: ParsedRequest, record: records.RequestRecord
     ) -> float:
-        """Returns tokens used, and learns how long tokens are."""
+        """Returns the tokens used and updates the ratio of the model.
+
+        Returns the estimate if the answer reported no usage, and 0 for plain
+        services and requests without an attempt.
+        """
         completion = parsed.completion
         if not record.attempts or completion is None:
             return 0.0
@@ -172,7 +177,7 @@
         raise errors.RefusalError(
             "method_not_allowed",
             405,
-            f"{request.method} is not possible on {request.path}.",
+            f"{request.method} is not allowed on {request.path}.",
             "Use POST.",
         )
     return openai.parse_completion(body, request.path == openai.CHAT_PATH)
@@ -185,8 +190,8 @@
 ) -> bool:
     """Returns whether a request may run more than once.
 
-    Calls of plain services may not, but for the safe methods, unless their
-    route says so; completions may, unless route or header say otherwise.
+    Calls of plain services may not, except with safe methods, unless their
+    route allows it; completions may, unless route or header forbid it.
     """
     header = request.headers.get(REPEATABLE_HEADER, "").lower()
     if header == "false":
--- a/hillthread/coordination/metric_set.py
+++ b/hillthread/coordination/metric_set.py
@@ -1,4 +1,4 @@
-"""What the metrics of all programs share: names, a registry, bounded labels."""
+"""Base of the metrics of all programs: prefix, registry, bounded labels."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 class BoundedLabels:
-    """Says which labels get series of their own.
+    """Bounds the number of time series with distinct label values.
 
-    Those beyond the first 256 of an hour share `OTHER`, so that 2,200
+    Label values beyond the first 256 of an hour share `OTHER`, so that 2,200
     organisations do not fill a host's memory.
     """
 
@@ -29,7 +29,7 @@
         )
 
     def admit(self, key: Hashable) -> bool:
-        """Returns whether a label, or several of them, has its own series."""
+        """Returns whether a label value, or a tuple, gets its own series."""
         if key in self._tracked:
             return True
         if len(self._tracked) >= _MAX_SERIES:
@@ -42,8 +42,8 @@
     """Metrics of one program, under one prefix.
 
     Attributes:
-        registry: Where they are registered.
-        buckets: Upper bounds of its histograms, seconds.
+        registry: The registry of the metrics.
+        buckets: Upper bounds of the histogram buckets, in seconds.
     """
 
     def __init__(self, buckets: Sequence[float]):
@@ -51,7 +51,7 @@
         self.buckets = buckets
 
     def render(self) -> bytes:
-        """Returns all metrics in the customary text form."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
     def counter(
--- a/hillthread/coordination/metrics.py
+++ b/hillthread/coordination/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the router: counters first, histograms for each tenant."""
+"""Metrics of the router."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouterMetrics(metric_set.MetricSet):
-    """Everything a router counts."""
+    """Counters, gauges and histograms of a router."""
 
     def __init__(self):
         super().__init__(_FIRST_TOKEN_BUCKETS)
@@ -28,7 +28,7 @@
             "resumes", "Streams resumed or continued.", ["way"]
         )
         self.mismatches = self.counter(
-            "mismatches", "Answers refused by a check.", ["check"]
+            "mismatches", "Answers rejected by a check.", ["check"]
         )
         self.prompt_tokens = self.counter(
             "prompt_tokens", "Prompt tokens answered.", []
@@ -37,7 +37,7 @@
             "cached_tokens", "Prompt tokens found cached.", []
         )
         self.records_lost = self.counter(
-            "records_lost", "Decision records not kept.", []
+            "records_lost", "Decision records dropped.", []
         )
         self.links = self.counter(
             "links", "Connections to the control process.", ["event"]
@@ -46,7 +46,7 @@
             "configuration_position",
             "Log position of the configuration in force.",
         )
-        self.inflight = self.gauge("inflight", "Requests served.")
+        self.inflight = self.gauge("inflight", "Requests being served.")
         self.first_token = self.histogram(
             "first_token_seconds",
             "From a request's arrival to its first token.",
@@ -55,7 +55,7 @@
         self._tenants = metric_set.BoundedLabels()
 
     def observe_first_token(self, tenant: str, seconds: float) -> None:
-        """Notes a time to first token."""
+        """Records a time to first token."""
         if not self._tenants.admit(tenant):
             tenant = metric_set.OTHER
         self.first_token.labels(tenant).observe(seconds)
--- a/hillthread/coordination/record_pages.py
+++ b/hillthread/coordination/record_pages.py
@@ -1,4 +1,4 @@
-"""Answers questions on decision records, scoped to who asks."""
+"""Selects decision records by a filter, which can limit them to a tenant."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 __all__ = ["RecordFilter", "select_records"]
 
-# Records in one answer at most.
+# Bound on the records in one answer.
 _MAX_RECORDS = 200
 
 
 class RecordFilter(NamedTuple):
-    """Which records are asked for; empty fields match all.
+    """A filter of decision records; empty fields match all.
 
     Attributes:
-        request_id: One request.
-        tenant: Who made the request.
-        target: A target that an attempt went to.
-        reason: Why an attempt's target was chosen, or a refusal's code.
-        limit: Records at most, the newest first.
+        request_id: The id of one request.
+        tenant: The tenant of the request.
+        target: A target of one of the attempts.
+        reason: The reason of an attempt's decision, or a refusal's code.
+        limit: Bound on the records returned.
     """
 
     request_id: str = ""
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -1,4 +1,4 @@
-"""The callers' application: who asks, what for, and under which limits."""
+"""The router's ASGI application: authentication, limits and claims."""
 
 from __future__ import annotations
 
@@ -38,16 +38,18 @@
 
 
 class Router:
-    """Serves callers.
+    """Serves the requests of callers.
 
     Attributes:
-        table: The configuration in force, or None before the first.
-        fleet: What is known of the targets.
-        records: The decision records kept.
+        table: The routing table in use, or None before the first one.
+        fleet: The state of the targets.
+        records: The decision records kept in memory.
+        usage: Usage of each tenant's limits, by the tenant's name.
         inflight: Requests being served.
         draining: Whether the program is stopping.
-        finished: Called with each record that is complete.
-        demand: Which part of the tenants' limits this router may spend.
+        request_ended: Set, and replaced, whenever a request ends.
+        on_finished: Called with each complete record of a routed request.
+        demand_shares: This router's shares of the tenants' limits.
     """
 
     def __init__(
@@ -76,7 +78,7 @@
         )
 
     def apply_table(self, table: routing_table.RoutingTable) -> None:
-        """Puts a configuration in force."""
+        """Replaces the routing table, unless the new one is older."""
         if self.table is not None and table.position < self.table.position:
             return
         self.table = table
@@ -90,7 +92,7 @@
         self.metrics.position.set(table.position)
 
     def not_ready_reason(self) -> str:
-        """Returns why new requests should go elsewhere, or nothing."""
+        """Returns why this router takes no new requests, or an empty string."""
         if self.draining:
             return "stopping"
         return "" if self.table is not None else "no configuration in force"
@@ -158,10 +160,11 @@
 
     def _check_ready(self) -> routing_table.RoutingTable:
         if self.table is None:
-            raise _unavailable("not_ready", "No configuration is in force yet.")
+            raise _unavailable("not_ready", "No configuration is loaded yet.")
         if self.inflight > self.settings.limits.max_concurrency:
             raise _unavailable(
-                "router_busy", "The router serves too many requests."
+                "router_busy",
+                "The router serves its maximum of requests.",
             )
         return self.table
 
@@ -183,8 +186,8 @@
             raise errors.RefusalError(
                 "tenant_limit",
                 429,
-                "The tenant's limit is used up.",
-                "Wait as long as Retry-After says.",
+                "The tenant's limit is exhausted.",
+                "Retry after the time in Retry-After.",
                 retry_after_s=wait_s,
             )
         usage.begin()
@@ -219,7 +222,7 @@
         key: str | None,
         refusal: errors.RefusalError,
     ) -> None:
-        """Frees the key of a request that surely did not run."""
+        """Releases the key of a request that is proven not to have run."""
         if key is None or refusal.run is not errors.RunState.NOT_RUN:
             return
         await self.claims.release(
@@ -227,7 +230,7 @@
         )
 
     async def _claim(self, exchange: exchange_lib.Exchange) -> str | None:
-        """Returns the key that was claimed, or None when none is needed."""
+        """Returns the claimed key, or None if no claim is needed."""
         key = exchange.request.headers.get(IDEMPOTENCY_HEADER)
         if exchange.record.repeatable or key is None:
             return None
@@ -239,15 +242,15 @@
                 raise errors.RefusalError(
                     "already_claimed",
                     409,
-                    "A request with this idempotency key was taken before.",
-                    "Ask what became of that one; it may have run.",
+                    "Another request has claimed this idempotency key.",
+                    "Check the outcome of that request; it may have run.",
                     errors.RunState.UNKNOWN,
                 )
             case claims_lib.ClaimResult.UNAVAILABLE:
                 raise errors.RefusalError(
                     "claim_unavailable",
                     503,
-                    "It cannot be made sure that the request runs only once.",
+                    "The router cannot ensure that the request runs only once.",
                     "Send it again later with the same key.",
                     retry_after_s=_RETRY_AFTER_S,
                 )
@@ -303,7 +306,7 @@
 
 
 def _discard_record(record: records.RequestRecord) -> None:
-    """Stands for nobody who keeps records beyond the host."""
+    """Drops a record; the default of `Router.on_finished`."""
     del record
 
 
@@ -321,7 +324,7 @@
     return errors.RefusalError(
         "internal_error",
         500,
-        "The router failed; its log has the cause.",
+        "An internal error occurred; the router's log has the cause.",
         "Report it with the request id.",
         run,
     )
@@ -332,6 +335,6 @@
         code,
         503,
         message,
-        "Try again after the time in Retry-After.",
+        "Retry after the time in Retry-After.",
         retry_after_s=_RETRY_AFTER_S,
     )
--- a/hillthread/coordination/share_outbox.py
+++ b/hillthread/coordination/share_outbox.py
@@ -1,4 +1,4 @@
-"""What a router is still to tell the others of requests it has placed."""
+"""Placement notices that a router has yet to send to the other routers."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 __all__ = ["PlacementNotice", "PlacementNoticeOutbox"]
 
-# A level that was told of a target is not told again for so long, seconds.
+# Least time between two notices of the same prefix level on the same target.
 _RESEND_INTERVAL_S = 2.0
-# Shares kept for a reader that is slow; the oldest give way.
+# Notices kept for a slow reader; the oldest are dropped.
 _MAX_NOTICES = 1024
-# Levels whose last telling is remembered.
+# Levels whose time of the last notice is kept.
 _MAX_SENT_LEVELS = 8192
 
 
 class PlacementNotice(NamedTuple):
-    """What one router tells others of a request it has placed.
+    """A notice to other routers of a request that one router has placed.
 
     Attributes:
-        target: Where it was sent.
-        incarnation: The target's incarnation it holds for.
-        weights_version: The target's weights version it holds for.
+        target: The target of the request.
+        incarnation: The target's incarnation; the notice holds for no other.
+        weights_version: The target's weights; the notice holds for no others.
         prefill_tokens: Expected uncached tokens.
-        levels: Its shared levels that were not told a moment ago.
+        levels: The prompt's shared levels that were not in a recent notice.
     """
 
     target: str
@@ -41,15 +41,15 @@
 
 
 def _do_nothing() -> None:
-    """Stands for nobody who wants to know."""
+    """Does nothing; the default of `PlacementNoticeOutbox.on_ready`."""
 
 
 class PlacementNoticeOutbox:
-    """Shares in the order in which they came up.
+    """A queue of placement notices.
 
     Attributes:
-        shares: Not yet taken, oldest first.
-        ready: Called when something comes in.
+        notices: Notices not yet sent, the oldest first.
+        on_ready: Called after each new notice.
     """
 
     def __init__(self):
@@ -69,14 +69,14 @@
         levels: Sequence[prompt.PrefixLevel],
         now: float,
     ) -> None:
-        """Puts in a placement, without the levels told a moment ago.
+        """Queues a notice of a placement, without levels in recent notices.
 
         Args:
-            target: Where the request was sent.
-            epoch: Of the target.
+            target: The target of the request.
+            epoch: The epoch of the target.
             prefill_tokens: Expected uncached tokens.
-            levels: Those that other prompts may share.
-            now: Steady time, seconds.
+            levels: The levels that other prompts may share.
+            now: Monotonic seconds.
         """
         due_levels = tuple(
             level for level in levels if self._mark_if_due(target, level, now)
@@ -87,7 +87,7 @@
         self.on_ready()
 
     def drain(self) -> list[PlacementNotice]:
-        """Returns what is to be told to other routers, once."""
+        """Removes and returns all queued notices."""
         notices = list(self.notices)
         self.notices.clear()
         return notices
@@ -95,7 +95,7 @@
     def _mark_if_due(
         self, target: str, level: prompt.PrefixLevel, now: float
     ) -> bool:
-        """Returns whether a level is to be told, and notes that it is."""
+        """Returns whether a level is due for a notice, and if so marks it."""
         key = (target, level.digest)
         if (
             now - self._sent_at.get(key, -_RESEND_INTERVAL_S)
--- a/hillthread/coordination/stream_progress.py
+++ b/hillthread/coordination/stream_progress.py
@@ -1,4 +1,4 @@
-"""How far a streamed answer got: order, identity and completeness."""
+"""Tracks a streamed answer: order of events, attempt ids and completeness."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 __all__ = ["StreamFault", "StreamProgress"]
 
+# Bound on the relayed events kept to continue the answer on another target.
 _MAX_RETAINED_BYTES = 2_097_152
 _USAGE_FIELD = b'"usage"'
 _EMPTY_CHOICES = (b'"choices":[]', b'"choices": []')
 
 
 class StreamFault(enum.StrEnum):
-    """What a check of a streamed answer found wrong."""
+    """A fault that a check of a streamed answer found."""
 
     WRONG_ATTEMPT = "crossed_answer"
     GAP = "gap_in_stream"
@@ -47,12 +48,17 @@
     """Checks the events of one answer, over all attempts at it.
 
     Attributes:
-        first_id: Attempt id of the first attempt, which the caller sees.
+        wants_usage: Whether the caller requested the usage event.
+        first_attempt_id: Id of the first attempt; the caller sees it in all
+            events.
+        attempt_id: Id of the current attempt.
         next_index: Index of the next event to relay.
-        done: Whether the terminal marker came.
-        usage: The usage told, or None.
-        overlap: Events dropped because they came twice.
-        fault: What was found wrong in the current attempt, or None.
+        done: Whether the terminal marker was received.
+        usage: The reported usage, or None.
+        duplicate_count: Events dropped because they were already relayed.
+        fault: The fault found in the current attempt, or None.
+        earlier_tokens: Tokens relayed by earlier attempts, which the current
+            one received as part of its prompt; 0 if it does not continue one.
     """
 
     def __init__(self, wants_usage: bool):
@@ -99,7 +105,7 @@
         return self._relay(event)
 
     def relayed_text(self) -> str | None:
-        """Returns the text relayed so far, or None when too long to keep."""
+        """Returns the text relayed so far, or None if it was too long."""
         if self._retained_bytes > _MAX_RETAINED_BYTES:
             return None
         texts = []
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -1,7 +1,8 @@
-"""Relays a streamed answer: whole and in order, or with an explicit error.
+"""Relays a streamed answer completely and in order, or with an explicit error.
 
-When the connection breaks, the stream is first resumed on the incarnation
-that computes it. Continuing it on another target is the forwarder's choice.
+When the connection breaks, the relay first resumes the stream on the same
+incarnation of the target. The forwarder decides whether to continue it on
+another target.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
     (b"content-type", b"text/event-stream; charset=utf-8"),
     (b"cache-control", b"no-store"),
 ]
-# How often a broken stream is asked for again on the same incarnation.
+# Attempts to resume a broken stream on the same incarnation.
 _MAX_RESUMES = 2
-# Pause before the first of them; each further one waits as much longer.
+# Pause before the first resume; each further pause is longer by this time.
 _RESUME_PAUSE_S = 0.05
-# Bound on reading to the end of an answer, so that its connection can be kept.
+# Bound on reading a response to its end, so that its connection can be reused.
 _DRAIN_TIMEOUT_S = 0.5
 
 
@@ -42,7 +43,7 @@
     """Relays one answer, over all attempts at it.
 
     Attributes:
-        progress: How far the answer got.
+        progress: The checks and the position of the answer.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         headers: dict[str, str],
         body: bytes,
     ) -> None:
-        """Runs one attempt until the answer is whole.
+        """Runs one attempt until the answer is complete.
 
         Raises:
             AttemptError: The target cannot complete it.
@@ -167,7 +168,7 @@
         response: target_client.TargetResponse,
         expected: attempt_checks.Expectation,
     ) -> None:
-        """Passes on a target's own 4xx answer, which is the answer."""
+        """Relays a target's 4xx answer, which is the final answer."""
         data = await self.client.read_all(response, self.max_event_bytes)
         if self.exchange.has_sent_head:
             raise target_client.AttemptError(
@@ -187,7 +188,11 @@
         error: target_client.AttemptError,
         expected: attempt_checks.Expectation,
     ) -> bool:
-        """Resuming runs nothing again, so it needs no permission."""
+        """Returns whether the stream can be resumed on its incarnation.
+
+        Resuming does not run the request again, so it is allowed for requests
+        that are not repeatable.
+        """
         fault = self.progress.fault
         if fault is stream_progress.StreamFault.ERROR_EVENT:
             return False
@@ -261,9 +266,9 @@
 async def send_stream_error(
     exchange: exchange_lib.Exchange, refusal: errors.RefusalError
 ) -> None:
-    """Tells a caller whose answer has begun that it cannot be completed.
+    """Sends an error to a caller whose answer has begun but cannot complete.
 
-    The body is left without its end, so that no client takes it for whole.
+    The body is left unterminated, so that no client takes it for complete.
     """
     if exchange.is_streamed:
         data = openai.encode_error_body(refusal, exchange.request_id)
--- a/hillthread/coordination/target_watch.py
+++ b/hillthread/coordination/target_watch.py
@@ -1,7 +1,7 @@
-"""Watches the data centre's targets: their load and who leaves.
+"""Polls the data centre's targets for their loads and for departures.
 
-The loads of one round are told together, as that costs least, but nobody waits
-for a target that is slow or silent: its load is told when it comes.
+The loads of one round are sent in one message, as that costs least. A slow or
+silent target does not delay the others: its load is sent when it arrives.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 __all__ = ["TargetWatch"]
 
-# For a whole answer, however its parts come.
+# Bound on a whole answer, however its parts arrive.
 _READ_TIMEOUT_S = 1.0
-# Wait for the loads that are told together; a target takes milliseconds.
+# Wait for the loads sent in one message; a target answers within milliseconds.
 _ROUND_WAIT_S = 0.1
 _LIST_POLL_INTERVAL_S = 1.0
 
@@ -32,7 +32,7 @@
 
 
 class _ListedTarget(msgspec.Struct):
-    """One line of the platform's host list."""
+    """One entry of the platform's host list."""
 
     name: str
     state: str
@@ -44,13 +44,13 @@
 
 
 class _Round:
-    """Reads begun at the same time.
+    """Reads that started at the same time.
 
     Attributes:
-        loads: What came in so far.
-        reading: Targets whose load has not come.
-        told: Whether `loads` were told.
-        complete: Set when no target is left.
+        loads: Loads received so far.
+        reading: Targets whose read has not ended.
+        is_sent: Whether `loads` were sent.
+        complete: Set when all reads have ended.
     """
 
     def __init__(self, targets: list[objects.Target]):
@@ -62,17 +62,17 @@
             self.complete.set()
 
     def finish(self, target: objects.Target) -> None:
-        """Notes that a target's read has ended in any way."""
+        """Records that a target's read has ended in any way."""
         self.reading.discard(target.name)
         if not self.reading:
             self.complete.set()
 
 
 class TargetWatch:
-    """Reads loads of the targets assigned to this host, and the host list.
+    """Polls the targets assigned to this host, and the platform's host list.
 
     Attributes:
-        failures: Reads that failed.
+        failures: Failed reads.
         reading: Targets whose load is being read.
     """
 
@@ -90,7 +90,7 @@
         )
 
     async def run_loads(self) -> None:
-        """Reads the loads of assigned targets until cancelled."""
+        """Polls the loads of the assigned targets until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 started = clock.now()
@@ -101,7 +101,10 @@
                 )
 
     async def _run_round(self, group: anyio.abc.TaskGroup) -> None:
-        """Reads all targets that are not being read; tells what comes soon."""
+        """Reads all targets that are not being read, and sends their loads.
+
+        Loads that arrive after `_ROUND_WAIT_S` are sent one by one.
+        """
         targets = [
             target
             for target in self.node.engines.list_watched()
@@ -118,7 +121,7 @@
             self.node.publish_loads(messages.Loads(poll_round.loads))
 
     async def run_host_list(self) -> None:
-        """Reads the platform's host list until cancelled."""
+        """Polls the platform's host list until cancelled."""
         if self.settings.host_list is None:
             return
         url = f"http://{self.settings.host_list}/targets"
@@ -132,18 +135,18 @@
             await anyio.sleep(_LIST_POLL_INTERVAL_S)
 
     async def _get(self, url: str) -> httpx.Response:
-        """Returns an answer that came whole in time.
+        """Returns an answer that was completely received in time.
 
         Raises:
-            httpx.HTTPError: There is none.
-            TimeoutError: It took too long; the client's own limit is for each
-                part of it.
+            httpx.HTTPError: The request failed.
+            TimeoutError: The whole answer took too long; the timeout of the
+                client itself applies to each read only.
         """
         with anyio.fail_after(_READ_TIMEOUT_S):
             return await self.client.get(url)
 
     async def _read(self, target: objects.Target, poll_round: _Round) -> None:
-        """Reads one target; tells its load if the round is told already."""
+        """Reads one target; sends its load if the round was already sent."""
         try:
             load = await self._read_load(target)
             if load is None:
@@ -159,7 +162,7 @@
     async def _read_load(
         self, target: objects.Target
     ) -> messages.TargetLoad | None:
-        """Returns a target's load, or None when it cannot be read."""
+        """Returns a target's load, or None if it cannot be read."""
         try:
             response = await self._get(f"http://{target.address}/metrics")
             report = engine.parse_metrics(response.text, 0.0)
@@ -182,8 +185,8 @@
         )
 
     def _apply_host_list(self, listed: _HostList) -> None:
-        for line in listed.targets:
+        for entry in listed.targets:
             state = messages.TargetState(
-                line.name, line.incarnation, line.state == "leaving"
+                entry.name, entry.incarnation, entry.state == "leaving"
             )
             self.node.publish_target_state(state)
--- a/hillthread/coordination/whole_relay.py
+++ b/hillthread/coordination/whole_relay.py
@@ -1,8 +1,9 @@
-"""Relays answers that are not streams of events.
+"""Relays answers that are not event streams.
 
-A completion's answer is checked whole before any of it is passed on, and so is
-a plain service's short answer, so that a break can still be told. A long one is
-passed on as it comes and ends cleanly only when it did.
+The answer to a completion, and a short answer of a plain service, is read
+completely before any of it is relayed, so that a broken connection can still be
+reported as an error. A long answer of a plain service is relayed as it arrives
+and ends cleanly only if the target's answer did.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 __all__ = ["WholeRelay"]
 
-
+# Longer answers of plain services are relayed as they arrive.
 _MAX_BUFFERED_BYTES = 65_536
 
 
@@ -34,7 +35,7 @@
     """Relays one answer.
 
     Attributes:
-        usage: What the engine told, or None.
+        usage: The usage that the engine reported, or None.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         """Runs one attempt.
 
         Raises:
-            AttemptError: It gave no whole answer.
+            AttemptError: It gave no complete answer.
         """
         request = self.exchange.request
         path = request.path
--- a/tests/coordination/test_attempt_checks.py
+++ b/tests/coordination/test_attempt_checks.py
@@ -1,4 +1,4 @@
-"""Tests of what a router learns from the head of a target's answer."""
+"""Tests of the checks of an answer's head."""
 
 import types
 import unittest
@@ -23,7 +23,7 @@
         self.target = test_fleet.make_target("t0")
 
     def check_refusal(self, status, **headers):
-        """Has the target refuse an attempt."""
+        """Checks a refusal of the target; expects an error."""
         response = types.SimpleNamespace(
             status_code=status,
             headers={
@@ -38,14 +38,14 @@
             self.checker.check(response, expected)
 
     def exclusion(self, now):
-        """Returns why the target is not eligible."""
+        """Returns the exclusion of the target, or None."""
         pool = objects.Pool(name="p", target_selector="")
         constraints = fleet_lib.PlacementConstraints([self.target], pool, "m")
         found = self.fleet.choose(test_fleet.QUERY, constraints, now)
         return found.scores[0].exclusion
 
-    # Guards against requests to a target that shed load with a Retry-After
-    # whose time is not over.
+    # Guards against requests to a target that sheds load before the time in
+    # its Retry-After is over.
     def test_target_is_excluded_during_its_backoff(self):
         self.check_refusal(503, retry_after="30")
         now = clock.now()
--- a/tests/coordination/test_fleet.py
+++ b/tests/coordination/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of what a router knows of its targets."""
+"""Tests of a router's state of its targets."""
 
 import unittest
 
@@ -104,7 +104,7 @@
             self.assertEqual(score.warm_tokens, 0)
 
     def test_changed_ratio_keeps_the_count_of_retries(self):
-        """Each change would give a new burst of retries."""
+        """Otherwise each change would allow a new burst of retries."""
         budget = self.fleet.retry_budget(POOL)
         while budget.withdraw(0.0):
             pass
@@ -125,7 +125,11 @@
         self.assertEqual((breaker.eject_after, breaker.eject_s), (3, 7.0))
 
     def test_restart_resets_the_count_of_inserted_tokens(self):
-        """A restarted engine counts from zero; others fill its cache, too."""
+        """A restarted engine counts from zero.
+
+        With the count of the former incarnation as a maximum, insertions by
+        other routers would not age the beliefs about the cache.
+        """
         target = self.targets[0]
         self.fleet.track(target)
         self.fleet.observe_epoch("t0", EPOCH)
--- a/tests/coordination/test_forwarder.py
+++ b/tests/coordination/test_forwarder.py
@@ -1,4 +1,4 @@
-"""Tests of which failed attempts use up a request's attempts."""
+"""Tests of which failures count against a request's attempts."""
 
 import types
 import unittest
@@ -14,7 +14,7 @@
 
 
 class ForwarderTest(unittest.IsolatedAsyncioTestCase):
-    """Attempts are replaced; what counts them is real."""
+    """Replaces single attempts; the counting of failures is real."""
 
     def setUp(self):
         warmth = types.SimpleNamespace(targets={})
@@ -28,7 +28,12 @@
         self.sends = 0
 
     async def serve(self, refusals, has_new_weights):
-        """Serves a request that is refused so often; returns its sends."""
+        """Serves a request with so many refusals; returns the attempts made.
+
+        Args:
+            refusals: Attempts that are refused before one succeeds.
+            has_new_weights: Whether each refusal reveals new weights.
+        """
         fake = mock.Mock(spec=forwarder.Forwarder, fleet=self.fleet)
         fake.client = fake.checker = fake.settings = mock.Mock()
         fake.metrics = mock.Mock()
--- a/tests/coordination/test_gate.py
+++ b/tests/coordination/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests of admission: places, turns and true reasons."""
+"""Tests of admission: slots, queue order and reasons of refusals."""
 
 import time
 import types
@@ -21,7 +21,7 @@
 
 
 class Exchange:
-    """As much of an exchange as the gate needs."""
+    """A fake exchange with what the gate uses."""
 
     def __init__(self, name, priority=0):
         self.name = name
@@ -85,7 +85,7 @@
 
 
 class ModelsTest(unittest.IsolatedAsyncioTestCase):
-    """Requests of one pool that need different targets."""
+    """Tests of requests in one pool that need different targets."""
 
     def setUp(self):
         self.gate = gate_lib.AdmissionGate(fleet_lib.Fleet("dc1"))
@@ -144,7 +144,7 @@
         self.assertEqual(self.served, ["a", "e", "b", "d"])
 
     async def test_new_request_waits_behind_others_of_its_model(self):
-        """Also when a place has come free that nobody was told of."""
+        """Also when a slot became free without a release by the gate."""
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, "b", "m")
@@ -159,7 +159,7 @@
         self.assertEqual(self.served, ["a", "b", "d"])
 
     async def test_waiter_with_old_targets_does_not_block_newer_requests(self):
-        """A target has joined since; who came before does not know it."""
+        """The targets of the earlier request lack one that joined later."""
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, "b", "m")
--- a/tests/coordination/test_metric_set.py
+++ b/tests/coordination/test_metric_set.py
@@ -1,4 +1,4 @@
-"""Tests of what all programs' metrics share."""
+"""Tests of the bound on the number of time series."""
 
 import unittest
 
--- a/tests/coordination/test_target_watch.py
+++ b/tests/coordination/test_target_watch.py
@@ -1,4 +1,4 @@
-"""Tests of reading targets of which some do not answer."""
+"""Tests of polling targets, some of which answer slowly or not at all."""
 
 import itertools
 import time
@@ -22,7 +22,7 @@
 
 
 class Node:
-    """As much of a control node as the watch needs."""
+    """A fake control node that records the loads it receives."""
 
     def __init__(self, targets):
         self.targets = targets
@@ -42,7 +42,7 @@
 
 
 async def drip_body():
-    """A page whose parts come too often for a timeout between two."""
+    """Yields parts so often that no read of a single part times out."""
     while True:
         yield b"#\n"
         await anyio.sleep(0.1)
