--- a/hillthread/coordination/__init__.py
+++ b/hillthread/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""How decisions are made and how hosts act together."""
+"""Routing of requests and coordination between hosts."""
--- a/hillthread/coordination/dialer.py
+++ b/hillthread/coordination/dialer.py
@@ -1,8 +1,8 @@
-"""Opens links to other hosts: which ones, all hosts compute alike.
+"""Opens links to other hosts.
 
-Within a data centre each pair of hosts has a link. Between two data centres
-there are at most `_GATEWAYS` squared links, between the hosts that rendezvous
-hashing ranks first on both sides.
+All hosts compute the same set of links. Within a data centre each pair of hosts
+has a link. Two data centres have at most `_GATEWAY_HOST_COUNT` squared links,
+between the hosts that rendezvous hashing ranks first on both sides.
 """
 
 from __future__ import annotations
@@ -23,18 +23,19 @@
 
 __all__ = ["Dialer", "select_gateway_hosts", "select_peers"]
 
-# Hosts of a data centre that have links to another one: one may be lost.
-_GATEWAYS = 2
-# How often missing links are looked for, and the first pause after a failure.
-_CHECK_S = 0.25
-# The pause doubles up to this.
+# Hosts of a data centre that have links to another one. Two of them tolerate
+# the loss of one.
+_GATEWAY_HOST_COUNT = 2
+# Interval of checks for missing links, and the first pause after a failure.
+_CHECK_INTERVAL_S = 0.25
+# Limit of the pause, which doubles after each failure.
 _MAX_BACKOFF_S = 5.0
 
 
 def select_gateway_hosts(
-    own: str, other: str, hosts: Iterable[str], count: int = _GATEWAYS
+    own: str, other: str, hosts: Iterable[str], count: int = _GATEWAY_HOST_COUNT
 ) -> list[str]:
-    """Returns the hosts of `own` that have links to data centre `other`."""
+    """Returns those of `hosts`, of `own`, that link to data centre `other`."""
     key = "|".join(sorted((own, other))).encode()
     return placement.rank_by_rendezvous(key, hosts)[:count]
 
@@ -46,31 +47,33 @@
     """Returns the peers to which this host opens links.
 
     Args:
-        settings: This host's settings, with all other hosts.
-        lost: Hosts judged lost; they are no gateways.
+        settings: This host's settings, which list all other hosts.
+        lost: Hosts considered lost; they are not chosen as gateway hosts.
     """
     own = settings.data_centre
     by_data_centre: dict[str, list[settings_lib.PeerSettings]] = {}
     for peer in settings.peers:
         by_data_centre.setdefault(peer.data_centre, []).append(peer)
-    mates = by_data_centre.pop(own, [])
-    wanted = [peer for peer in mates if settings.host < peer.host]
-    mine = [peer.host for peer in mates if peer.host not in lost]
+    local_peers = by_data_centre.pop(own, [])
+    selected = [peer for peer in local_peers if settings.host < peer.host]
+    local_hosts = [peer.host for peer in local_peers if peer.host not in lost]
     for other, peers in by_data_centre.items():
-        ours = select_gateway_hosts(own, other, [*mine, settings.host])
-        if own > other or settings.host not in ours:
+        own_gateways = select_gateway_hosts(
+            own, other, [*local_hosts, settings.host]
+        )
+        if own > other or settings.host not in own_gateways:
             continue
         alive = [peer.host for peer in peers if peer.host not in lost]
-        theirs = select_gateway_hosts(own, other, alive)
-        wanted += [peer for peer in peers if peer.host in theirs]
-    return wanted
+        other_gateways = select_gateway_hosts(own, other, alive)
+        selected += [peer for peer in peers if peer.host in other_gateways]
+    return selected
 
 
 class Dialer:
-    """Keeps links open to the wanted peers.
+    """Keeps links open to the peers that `select_peers` returns.
 
     Attributes:
-        failures: Attempts that failed.
+        failures: Failed attempts to connect.
     """
 
     def __init__(
@@ -87,39 +90,41 @@
         self.failures = 0
         self.random = random.Random()
         self._dialing: set[str] = set()
-        self._unreached: dict[str, float] = {}
-        self._wanted = select_peers(settings)
-        self._wanted_but: frozenset[str] = frozenset()
+        self._unreachable_since: dict[str, float] = {}
+        self._selected = select_peers(settings)
+        self._excluded: frozenset[str] = frozenset()
 
     async def run(self) -> None:
         """Opens missing links until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 self._dial_missing(group)
-                await anyio.sleep(_CHECK_S)
+                await anyio.sleep(_CHECK_INTERVAL_S)
 
     def _dial_missing(self, group: anyio.abc.TaskGroup) -> None:
         connected = self.hub.connected_hosts()
-        lost = self._lost()
-        if lost != self._wanted_but:
-            self._wanted = select_peers(self.settings, lost)
-            self._wanted_but = lost
-        for peer in self._wanted:
+        lost = self._list_lost_hosts()
+        if lost != self._excluded:
+            self._selected = select_peers(self.settings, lost)
+            self._excluded = lost
+        for peer in self._selected:
             if peer.host in connected or peer.host in self._dialing:
                 continue
             self._dialing.add(peer.host)
-            group.start_soon(self._keep, peer)
+            group.start_soon(self._maintain_link, peer)
 
-    def _lost(self) -> frozenset[str]:
-        """Returns hosts that could not be reached for a while."""
+    def _list_lost_hosts(self) -> frozenset[str]:
+        """Returns the hosts that were unreachable for `suspect_s` seconds."""
         due = clock.now() - self.settings.suspect_s
         return frozenset(
-            host for host, since in self._unreached.items() if since < due
+            host
+            for host, since in self._unreachable_since.items()
+            if since < due
         )
 
-    async def _keep(self, peer: settings_lib.PeerSettings) -> None:
-        """Dials a peer until a link was open and closed again."""
-        backoff_s = _CHECK_S
+    async def _maintain_link(self, peer: settings_lib.PeerSettings) -> None:
+        """Connects to a peer, with retries; serves the link until it closes."""
+        backoff_s = _CHECK_INTERVAL_S
         try:
             while True:
                 try:
@@ -128,11 +133,11 @@
                     )
                 except errors.PeerError:
                     self.failures += 1
-                    self._unreached.setdefault(peer.host, clock.now())
+                    self._unreachable_since.setdefault(peer.host, clock.now())
                     await anyio.sleep(self.random.uniform(0.5, 1) * backoff_s)
                     backoff_s = min(_MAX_BACKOFF_S, backoff_s * 2)
                     continue
-                self._unreached.pop(peer.host, None)
+                self._unreachable_since.pop(peer.host, None)
                 await self.hub.run_link(link)
                 return
         finally:
--- a/hillthread/coordination/hub.py
+++ b/hillthread/coordination/hub.py
@@ -17,8 +17,9 @@
 
 __all__ = ["Hub", "OpenLink"]
 
-_QUEUE = 256
-# An operator asks one question at a time; more than this is a fault.
+_MAX_QUEUED_MESSAGES = 256
+# Tasks of one link. An operator sends one query at a time, so that more than
+# this are due to a fault.
 MAX_TASKS = 16
 
 _logger = logging.getLogger(__name__)
@@ -27,13 +28,16 @@
 
 
 class OpenLink:
-    """A link with a bounded queue, so that a slow end holds up nobody.
+    """A link with a bounded send queue.
+
+    Sending never waits, so that a slow peer delays no other.
 
     Attributes:
         link: The link.
-        told: Positions of hosts already told over it.
-        served: Whether a router at its end was given the configuration.
-        running: Tasks begun with `start_task` that have not ended.
+        known_positions: Configuration positions that the peer knows, by host.
+        has_configuration: Whether the whole configuration was sent to the
+            router at the other end.
+        running_tasks: Tasks started with `start_task` that have not finished.
     """
 
     def __init__(self, link: link_lib.Link):
@@ -43,16 +47,19 @@
         self.running_tasks = 0
         self._tasks: anyio.abc.TaskGroup | None = None
         self._send, self._receive = anyio.create_memory_object_stream[bytes](
-            _QUEUE
+            _MAX_QUEUED_MESSAGES
         )
 
     @property
     def peer(self) -> link_lib.Identity:
-        """Who is at the other end."""
+        """The identity of the other end."""
         return self.link.peer
 
     def send(self, data: bytes) -> bool:
-        """Queues an encoded message; returns False when the queue is full."""
+        """Queues an encoded message; returns False if the queue is full.
+
+        A message for a link that is already closed is dropped.
+        """
         try:
             self._send.send_nowait(data)
         except anyio.WouldBlock:
@@ -64,10 +71,10 @@
     def start_task(
         self, function: Callable[..., Awaitable[None]], *arguments: object
     ) -> bool:
-        """Acts on a message that takes long, without holding up the next.
+        """Runs a slow message handler without delaying later messages.
 
         Returns:
-            False if there is no room for another task; it is not begun.
+            False if `MAX_TASKS` are already running; the task is not started.
         """
         if self._tasks is None or self.running_tasks >= MAX_TASKS:
             return False
@@ -84,7 +91,7 @@
             self.running_tasks -= 1
 
     async def serve(self, read: Callable[[], Awaitable[None]]) -> None:
-        """Writes and runs tasks until `read` returns."""
+        """Sends queued messages and runs tasks until `read` returns."""
         async with anyio.create_task_group() as group:
             self._tasks = group
             group.start_soon(self.write)
@@ -102,19 +109,19 @@
 
 
 class Hub:
-    """Keeps open links and passes messages.
+    """Tracks the open links, and sends and receives their messages.
 
     Attributes:
         links: All open links.
-        handle: Called with each message received.
-        opened: Called with each new link.
+        on_message: Called with each message received.
+        on_open: Called with each new link.
     """
 
     def __init__(self, registry: prometheus_client.CollectorRegistry):
         self.links: dict[int, OpenLink] = {}
         self.on_message: MessageHandler | None = None
         self.on_open: Callable[[OpenLink], None] | None = None
-        self._numbers = itertools.count()
+        self._link_ids = itertools.count()
         self.events = prometheus_client.Counter(
             "hillthread_link_events",
             "Links opened, closed, overflowed or malformed.",
@@ -136,17 +143,17 @@
 
     async def run_link(self, link: link_lib.Link) -> None:
         """Serves a link until it closes."""
-        number = next(self._numbers)
+        link_id = next(self._link_ids)
         link.count_bytes = self._count_bytes
         open_link = OpenLink(link)
-        self.links[number] = open_link
+        self.links[link_id] = open_link
         self.events.labels("opened", link.peer.role).inc()
         if self.on_open is not None:
             self.on_open(open_link)
         try:
             await open_link.serve(lambda: self._read(open_link))
         finally:
-            del self.links[number]
+            del self.links[link_id]
             self.events.labels("closed", link.peer.role).inc()
             with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
                 await link.close()
@@ -175,15 +182,16 @@
         self._send_encoded(target, messages.encode_message(message))
 
     def _send_encoded(self, target: OpenLink, data: bytes) -> None:
-        """Queues a message; a link whose queue is full is closed.
+        """Queues an encoded message; closes a link whose queue is full.
 
-        It opens again and catches up, which needs no more than keeping on.
+        The peers then connect again and catch up, which costs no more than
+        continuing would have.
         """
         if target.send(data):
             return
         self.events.labels("overflowed", target.peer.role).inc()
         _logger.warning(
-            "link to %s overflowed", target.peer.host,
+            "send queue of the link to %s is full; closed it", target.peer.host,
             extra={"code": "link_overflow"},
         )  # fmt: skip
         target.link.connection.transport.abort()
@@ -194,9 +202,9 @@
         message: messages.Message,
         excluded: OpenLink | None = None,
     ) -> None:
-        """Queues a message for many links, except the one it came from.
+        """Queues a message for several links, except for `excluded`.
 
-        It is encoded once, however many there are.
+        The message is encoded only once.
         """
         data = messages.encode_message(message)
         for target in targets:
--- a/hillthread/coordination/record_finder.py
+++ b/hillthread/coordination/record_finder.py
@@ -1,4 +1,4 @@
-"""Asks routers and other hosts for decision records and gathers answers."""
+"""Queries routers and other hosts for decision records."""
 
 from __future__ import annotations
 
@@ -13,39 +13,41 @@
 
 __all__ = ["RecordFinder"]
 
-# Replies that come later are left out.
-_QUERY_S = 1.0
+# Replies that arrive later are ignored.
+_QUERY_TIMEOUT_S = 1.0
 
 
-class _Gathering:
-    """Replies to one query."""
+class _PendingQuery:
+    """A query in progress and the replies received so far."""
 
-    def __init__(self, wanted: int):
-        self.wanted = wanted
+    def __init__(self, expected_replies: int):
+        self.expected_replies = expected_replies
         self.replies: list[messages.RecordReply] = []
         self.complete = anyio.Event()
 
 
 class RecordFinder:
-    """Questions under way.
+    """Sends queries for decision records and collects the replies.
 
     Attributes:
-        unanswered: Replies that did not come in time.
+        missing_replies: Number of replies that did not arrive in time.
     """
 
     def __init__(self, hub: hub_lib.Hub):
         self.hub = hub
         self.missing_replies = 0
-        self._ids = itertools.count()
-        self._gatherings: dict[int, _Gathering] = {}
+        self._query_ids = itertools.count()
+        self._pending_queries: dict[int, _PendingQuery] = {}
 
     async def find_on_all_hosts(
         self, query: messages.RecordQuery
     ) -> list[dict[str, Any]]:
-        """Returns what this and all linked hosts keep, the newest first."""
-        asked = [*self.hub.routers(), *self.hub.peers()]
+        """Returns the records of this and all linked hosts, newest first."""
+        recipients = [*self.hub.routers(), *self.hub.peers()]
         found: list[dict[str, Any]] = []
-        for reply in await self._ask(asked, query, _QUERY_S):
+        for reply in await self._send_query(
+            recipients, query, _QUERY_TIMEOUT_S
+        ):
             found += msgspec.json.decode(reply.documents)
         found.sort(key=lambda record: -record["received_at"])
         return found
@@ -53,38 +55,38 @@
     async def answer_query(
         self, link: hub_lib.OpenLink, query: messages.RecordQuery
     ) -> None:
-        """Answers another host with what the own router keeps."""
+        """Answers another host with the records of this host's router."""
         routers = self.hub.routers()
-        replies = await self._ask(routers, query, _QUERY_S / 2)
+        replies = await self._send_query(routers, query, _QUERY_TIMEOUT_S / 2)
         documents = replies[0].documents if replies else b"[]"
         self.hub.send(link, messages.RecordReply(query.query_id, documents))
 
     def apply_reply(self, reply: messages.RecordReply) -> None:
-        """Takes in a reply; one that comes late is passed over."""
-        gathering = self._gatherings.get(reply.query_id)
-        if gathering is None:
+        """Applies a reply; ignores one that arrives late."""
+        pending = self._pending_queries.get(reply.query_id)
+        if pending is None:
             return
-        gathering.replies.append(reply)
-        if len(gathering.replies) >= gathering.wanted:
-            gathering.complete.set()
+        pending.replies.append(reply)
+        if len(pending.replies) >= pending.expected_replies:
+            pending.complete.set()
 
-    async def _ask(
+    async def _send_query(
         self,
-        asked: list[hub_lib.OpenLink],
+        recipients: list[hub_lib.OpenLink],
         query: messages.RecordQuery,
         timeout_s: float,
     ) -> list[messages.RecordReply]:
-        if not asked:
+        if not recipients:
             return []
-        own_id = next(self._ids)
-        gathering = _Gathering(len(asked))
-        self._gatherings[own_id] = gathering
-        query = msgspec.structs.replace(query, query_id=own_id)
-        self.hub.broadcast(asked, query)
+        own_query_id = next(self._query_ids)
+        pending = _PendingQuery(len(recipients))
+        self._pending_queries[own_query_id] = pending
+        query = msgspec.structs.replace(query, query_id=own_query_id)
+        self.hub.broadcast(recipients, query)
         try:
             with anyio.move_on_after(timeout_s):
-                await gathering.complete.wait()
+                await pending.complete.wait()
         finally:
-            del self._gatherings[own_id]
-        self.missing_replies += gathering.wanted - len(gathering.replies)
-        return gathering.replies
+            del self._pending_queries[own_query_id]
+        self.missing_replies += pending.expected_replies - len(pending.replies)
+        return pending.replies
--- a/tests/coordination/test_control_node.py
+++ b/tests/coordination/test_control_node.py
@@ -1,4 +1,4 @@
-"""Tests of messages that come behind one which takes long."""
+"""Tests of messages that arrive after one that is slow to handle."""
 
 import logging
 import types
@@ -22,8 +22,8 @@
 )
 
 
-class Link:
-    """A link that delivers some messages and then stays open."""
+class FakeLink:
+    """Fake link that delivers some messages and then stays open."""
 
     def __init__(self, role, host, incoming=()):
         self.peer = link_lib.Identity(role, host, "dc1", "i1")
@@ -51,15 +51,15 @@
         logging.disable(logging.CRITICAL)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    async def test_query_holds_up_no_message_behind_it(self):
-        """The host's router is paused and answers none of them."""
+    async def test_slow_query_does_not_delay_later_messages(self):
+        """The host's router is paused and answers none of the queries."""
         registry = prometheus_client.CollectorRegistry()
         node = control_node.ControlNode(SETTINGS, "i1", registry)
         leaving = messages.TargetState("t", "i1", leaving=True)
         queries = [messages.RecordQuery(number) for number in range(4)]
-        peer = Link("control", "b", [*queries, leaving])
+        peer = FakeLink("control", "b", [*queries, leaving])
         async with anyio.create_task_group() as group:
-            group.start_soon(node.hub.run_link, Link("router", "a"))
+            group.start_soon(node.hub.run_link, FakeLink("router", "a"))
             group.start_soon(node.hub.run_link, peer)
             await anyio.sleep(0.2)
             self.assertIn("t", node.departures.leaving)
@@ -71,13 +71,13 @@
         ]
         self.assertEqual(sorted(r.query_id for r in replies), [0, 1, 2, 3])
 
-    async def test_queries_beyond_a_bound_are_passed_over(self):
+    async def test_queries_beyond_the_limit_are_ignored(self):
         registry = prometheus_client.CollectorRegistry()
         node = control_node.ControlNode(SETTINGS, "i1", registry)
         queries = [messages.RecordQuery(number) for number in range(500)]
-        peer = Link("control", "b", queries)
+        peer = FakeLink("control", "b", queries)
         async with anyio.create_task_group() as group:
-            group.start_soon(node.hub.run_link, Link("router", "a"))
+            group.start_soon(node.hub.run_link, FakeLink("router", "a"))
             group.start_soon(node.hub.run_link, peer)
             await anyio.sleep(0.2)
             (link,) = node.hub.peers()
--- a/tests/coordination/test_dialer.py
+++ b/tests/coordination/test_dialer.py
@@ -1,4 +1,4 @@
-"""Tests of which hosts open links to which."""
+"""Tests of the peers to which each host opens links."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from hillthread.coordination import dialer
 
 
-def all_settings(data_centres, hosts_each):
+def make_settings(data_centres, hosts_each):
     peers = [
         settings.PeerSettings(
             host=f"dc{d}-h{h}", data_centre=f"dc{d}", address="127.0.0.1:1"
@@ -27,7 +27,7 @@
     ]
 
 
-def links(everyone):
+def list_links(everyone):
     return [
         frozenset([own.host, peer.host])
         for own in everyone
@@ -37,11 +37,11 @@
 
 class WantedPeersTest(unittest.TestCase):
     def test_no_link_is_opened_from_both_ends(self):
-        found = links(all_settings(4, 3))
+        found = list_links(make_settings(4, 3))
         self.assertEqual(len(found), len(set(found)))
 
-    def test_every_pair_in_a_data_centre_and_few_between(self):
-        found = set(links(all_settings(5, 6)))
+    def test_links_every_pair_in_a_data_centre_and_few_between(self):
+        found = set(list_links(make_settings(5, 6)))
         inside = [
             pair
             for pair in found
@@ -51,7 +51,7 @@
         self.assertEqual(len(found) - len(inside), 10 * 4)
 
     def test_lost_gateways_are_replaced(self):
-        everyone = all_settings(2, 4)
+        everyone = make_settings(2, 4)
         between = [
             (own.host, peer.host)
             for own in everyone
@@ -59,12 +59,14 @@
             if own.data_centre != peer.data_centre
         ]
         lost = frozenset(between[0])
-        again = [
+        replacements = [
             (own.host, peer.host)
             for own in everyone
             if own.host not in lost
             for peer in dialer.select_peers(own, lost)
             if own.data_centre != peer.data_centre
         ]
-        self.assertEqual(len(again), 4)
-        self.assertFalse(lost & {host for pair in again for host in pair})
+        self.assertEqual(len(replacements), 4)
+        self.assertFalse(
+            lost & {host for pair in replacements for host in pair}
+        )
