--- a/hillthread/coordination/admin.py
+++ b/hillthread/coordination/admin.py
@@ -25,8 +25,8 @@
 
 __all__ = ["AdminApi", "Role"]
 
-_MAX_BODY = 1_048_576
-_STATUS_OF = {
+_MAX_BODY_BYTES = 1_048_576
+_STATUS_BY_ERROR = {
     errors.ConfigurationError: 422,
     errors.SelectorError: 422,
     errors.ConflictError: 409,
@@ -36,7 +36,7 @@
 
 
 class Role(enum.StrEnum):
-    """What somebody may do."""
+    """The permissions of a principal."""
 
     EDITOR = "editor"
     VIEWER = "viewer"
@@ -44,11 +44,11 @@
 
 
 class Principal(NamedTuple):
-    """Who asks.
+    """The authenticated sender of a request.
 
     Attributes:
-        name: Of the operator or the tenant.
-        role: What they may do.
+        name: Name of the operator or the tenant.
+        role: Its role.
     """
 
     name: str
@@ -67,10 +67,10 @@
 
 
 class AdminApi:
-    """Answers operators, and tenants that ask for their own records.
+    """Serves operators, and tenants that read their own records.
 
     Attributes:
-        refusals: Requests answered with an error, by code.
+        refusals: Number of requests answered with an error, by code.
     """
 
     def __init__(
@@ -95,12 +95,14 @@
         if await self.pages.answer(request, send):
             return
         try:
-            value = await self._answer(request)
+            value = await self._route_request(request)
             await http_server.send_json(send, 200, documents.as_document(value))
         except errors.RefusalError as refusal:
             await self._refuse(send, refusal, refusal.status)
         except errors.HillthreadError as error:
-            await self._refuse(send, error, _STATUS_OF.get(type(error), 500))
+            await self._refuse(
+                send, error, _STATUS_BY_ERROR.get(type(error), 500)
+            )
 
     async def _refuse(
         self,
@@ -116,26 +118,26 @@
         }
         await http_server.send_json(send, status, {"error": body})
 
-    async def _answer(self, request: http_server.Request) -> Any:
+    async def _route_request(self, request: http_server.Request) -> Any:
         if request.path == "/openapi.json":
             return admin_schema.OPENAPI
         principal = self._authenticate(request)
         parts = request.path.strip("/").split("/")
         match request.method, parts:
             case "GET", ["v1", "records"]:
-                return await self._records(request, principal)
+                return await self._find_records(request, principal)
             case "GET", ["v1", *_] if principal.role is Role.TENANT:
                 raise _forbidden("Tenants may read their own records only.")
             case "GET", ["v1", "status"]:
-                return self._status()
+                return self._describe_status()
             case "GET", ["v1", "objects"]:
-                return self._list(request)
+                return self._list_objects(request)
             case "GET", ["v1", "objects", kind, name]:
-                return self._get(objects.ObjectKey(kind, name))
+                return self._get_object(objects.ObjectKey(kind, name))
             case "GET", ["v1", "history"]:
-                return self._history(request)
+                return self._list_history(request)
             case "GET", ["v1", "outcomes", record_id]:
-                return self._outcome(record_id)
+                return self._get_outcome(record_id)
             case (("PUT" | "DELETE" | "POST"), ["v1", *rest]):
                 if principal.role is not Role.EDITOR:
                     raise _forbidden("Changes need the role `editor`.")
@@ -159,7 +161,7 @@
             "invalid_key",
             401,
             "The bearer key is missing or unknown.",
-            "Send the key of an operator in the control's settings.",
+            "Send the key of an operator in the control process's settings.",
         )
 
     async def _change(
@@ -170,11 +172,14 @@
     ) -> change_author.ChangeResult:
         if self.author is None:
             raise errors.LogError(
-                "This host has no log.", "Set `log` in the control's settings."
+                "This host has no log.",
+                "Set `log` in the control process's settings.",
             )
         match request.method, parts:
             case "PUT", ["objects"]:
-                body = _decode(await request.body(_MAX_BODY), _PutBody)
+                body = _decode_body(
+                    await request.body(_MAX_BODY_BYTES), _PutBody
+                )
                 return await self.author.put(
                     body.object,
                     principal.name,
@@ -190,19 +195,21 @@
                     request.parameter("dry_run") == "true",
                 )
             case "POST", ["rollback"]:
-                body = _decode(await request.body(_MAX_BODY), _RollbackBody)
-                return await self._rollback(body, principal)
+                body = _decode_body(
+                    await request.body(_MAX_BODY_BYTES), _RollbackBody
+                )
+                return await self._roll_back(body, principal)
         raise _not_found(f"There is no {request.method} {request.path}.")
 
-    async def _rollback(
+    async def _roll_back(
         self, body: _RollbackBody, principal: Principal
     ) -> change_author.ChangeResult:
-        """Puts back what an object was before one change."""
+        """Restores an object as it was before one change."""
         assert self.author is not None
         history = self.node.keeper.configuration.history
         found = [each for each in history if each.offset == body.offset]
         if not found or found[0].rejection or found[0].key is None:
-            raise _not_found(f"No effective change at offset {body.offset}.")
+            raise _not_found(f"No change took effect at offset {body.offset}.")
         if found[0].previous is None:
             return await self.author.delete(
                 found[0].key, principal.name, None, body.dry_run
@@ -211,7 +218,7 @@
             found[0].previous, principal.name, None, body.dry_run
         )
 
-    def _status(self) -> dict[str, Any]:
+    def _describe_status(self) -> dict[str, Any]:
         keeper = self.node.keeper
         return {
             "host": self.settings.host,
@@ -228,7 +235,9 @@
             "refused_batches": keeper.refused_batches,
         }
 
-    def _list(self, request: http_server.Request) -> list[dict[str, Any]]:
+    def _list_objects(
+        self, request: http_server.Request
+    ) -> list[dict[str, Any]]:
         selector = labels.parse_selector(request.parameter("selector"))
         kind = request.parameter("kind")
         state = self.node.keeper.configuration
@@ -238,13 +247,13 @@
             if kind in ("", key.kind) and selector.matches(value.labels)
         ]
 
-    def _get(self, key: objects.ObjectKey) -> dict[str, Any]:
+    def _get_object(self, key: objects.ObjectKey) -> dict[str, Any]:
         stored = self.node.keeper.configuration.stored.get(key)
         if stored is None:
             raise _not_found(f"There is no {key.kind} named {key.name}.")
         return {"version": stored.version, "object": stored.object}
 
-    def _history(self, request: http_server.Request) -> list[Any]:
+    def _list_history(self, request: http_server.Request) -> list[Any]:
         kind = request.parameter("kind")
         name = request.parameter("name")
         found = [
@@ -256,7 +265,7 @@
         ]
         return found[::-1][: request.count("limit", 50)]
 
-    def _outcome(self, record_id: str) -> Any:
+    def _get_outcome(self, record_id: str) -> Any:
         outcome = self.node.keeper.configuration.outcomes.get(record_id)
         if outcome is None:
             raise _not_found(
@@ -265,7 +274,7 @@
             )
         return outcome
 
-    async def _records(
+    async def _find_records(
         self, request: http_server.Request, principal: Principal
     ) -> list[Any]:
         tenant = request.parameter("tenant")
@@ -282,22 +291,25 @@
         return await self.node.find_records(query)
 
 
-def _decode(raw: bytes, kind: type[Any]) -> Any:
+def _decode_body(raw: bytes, kind: type[Any]) -> Any:
     try:
         return msgspec.json.decode(raw, type=kind)
     except (msgspec.DecodeError, RecursionError) as error:
         raise errors.ConfigurationError(
-            f"The body is invalid: {error}.", "See /openapi.json."
+            f"The request body is invalid: {error}.", "See /openapi.json."
         ) from error
 
 
 def _forbidden(message: str) -> errors.RefusalError:
     return errors.RefusalError(
-        "forbidden", 403, message, "Ask an operator with that role."
+        "forbidden", 403, message, "Ask an operator with the required role."
     )
 
 
 def _not_found(message: str) -> errors.RefusalError:
     return errors.RefusalError(
-        "not_found", 404, message, "See /openapi.json for what there is."
+        "not_found",
+        404,
+        message,
+        "See /openapi.json for the paths of this API.",
     )
--- a/hillthread/coordination/change_author.py
+++ b/hillthread/coordination/change_author.py
@@ -1,4 +1,4 @@
-"""Makes changes of configuration: checked, appended, read back."""
+"""Changes the configuration: checks, appends and reads back each change."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 __all__ = ["ChangeAuthor", "ChangeResult"]
 
-# How long an operator waits for an accepted change to be read back.
-_READ_BACK_S = 10.0
-# The same when the answer to the append was lost: it may not be there.
-_READ_BACK_LOST_S = 3.0
-_SELECTED_KINDS = {
+# Time limit for reading back a change whose append was acknowledged.
+_READ_BACK_TIMEOUT_S = 10.0
+# The same after the reply to the append was lost; the log may not hold it.
+_LOST_REPLY_TIMEOUT_S = 3.0
+_KIND_BY_SELECTOR = {
     "target_selector": "target",
     "pool_selector": "pool",
     "tenant_selector": "tenant",
@@ -31,13 +31,13 @@
 
 
 class ChangeResult(NamedTuple):
-    """What became of a change.
+    """The result of a change.
 
     Attributes:
-        record_id: By which it can be asked for again.
-        version: The object's version now, or 0 after a delete.
+        record_id: Identifies the change when its outcome is looked up later.
+        version: The object's new version, or 0 after a delete.
         offset: Position in the log, or -1 for a dry run.
-        warnings: What is allowed but looks wrong.
+        warnings: What is valid but probably a mistake.
         before: The object before, as JSON, or None.
         after: The object after, as JSON, or None.
     """
@@ -51,7 +51,7 @@
 
 
 class ChangeAuthor:
-    """Appends changes and says "accepted" only once they are read back."""
+    """Appends changes; reports one as accepted only once it is read back."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         self.stream = stream
         self.keeper = keeper
         self._advanced = anyio.Event()
-        keeper.listeners.append(self._note_advance)
+        keeper.listeners.append(self._wake_waiters)
 
     async def put(
         self,
@@ -76,21 +76,21 @@
 
         Args:
             value: The object as JSON.
-            actor: The operator who asks.
+            actor: The operator who makes the change.
             expected_version: The version it replaces; None for the one in
-                force here, 0 when it must not exist.
-            dry_run: Only check and show.
+                force on this host, 0 if the object must not exist.
+            dry_run: Whether only to check the change and return its effect.
 
         Raises:
             ConfigurationError: The object is invalid.
             ConflictError: Another version is in force.
-            UnknownOutcomeError: It may or may not be accepted.
-            LogError: The log is down; it was not accepted.
+            UnknownOutcomeError: The change may or may not take effect.
+            LogError: The log is down; the change was not made.
         """
         decoded = objects.decode_object(value)
         key = objects.object_key(decoded)
         state = self.keeper.configuration
-        expected = self._expected(key, expected_version)
+        expected = self._check_version(key, expected_version)
         warnings = find_warnings(decoded, state.decoded)
         before = state.stored.get(key)
         change = configuration.Put(
@@ -129,19 +129,21 @@
             actor=actor,
             made_at=time.time(),
             key=key,
-            expected_version=self._expected(key, expected_version),
+            expected_version=self._check_version(key, expected_version),
         )
         offset = -1 if dry_run else await self._commit(change)
         return ChangeResult(
             change.record_id, 0, offset, [], before.object, None
         )
 
-    def _expected(self, key: objects.ObjectKey, wanted: int | None) -> int:
+    def _check_version(
+        self, key: objects.ObjectKey, required: int | None
+    ) -> int:
         current = self.keeper.configuration.version(key)
-        if wanted is not None and wanted != current:
+        if required is not None and required != current:
             raise errors.ConflictError(
-                f"{key.kind}/{key.name} has version {current}, not {wanted}.",
-                "Read it again, make the change again, then apply.",
+                f"{key.kind}/{key.name} has version {current}, not {required}.",
+                "Read the object again, redo the change and apply it.",
             )
         return current
 
@@ -150,18 +152,18 @@
     ) -> int:
         """Appends a change and returns its offset once it is in force."""
         payload = configuration.encode_change(change)
-        lost: errors.UnknownOutcomeError | None = None
+        lost_reply: errors.UnknownOutcomeError | None = None
         try:
             await self.client.append(self.stream, [payload])
         except errors.UnknownOutcomeError as error:
-            lost = error
-        wait_s = _READ_BACK_LOST_S if lost else _READ_BACK_S
+            lost_reply = error
+        wait_s = _LOST_REPLY_TIMEOUT_S if lost_reply else _READ_BACK_TIMEOUT_S
         with anyio.move_on_after(wait_s):
             return await self._read_back(change.record_id)
         raise errors.UnknownOutcomeError(
             f"Record {change.record_id} was not read back in "
-            f"{wait_s} s{': ' + lost.message if lost else '.'}",
-            f"Ask `hillthread-ctl outcome {change.record_id}` later.",
+            f"{wait_s} s{': ' + lost_reply.message if lost_reply else '.'}",
+            f"Run `hillthread-ctl outcome {change.record_id}` later.",
         )
 
     async def _read_back(self, record_id: str) -> int:
@@ -173,11 +175,11 @@
             if outcome.rejection is None:
                 return outcome.offset
             raise errors.ConflictError(
-                f"Refused by log order: {outcome.rejection.message}",
-                "Read the object again, then apply.",
+                f"The change was rejected: {outcome.rejection.message}",
+                "Read the object again, redo the change and apply it.",
             )
 
-    def _note_advance(self, first_offset: int, payloads: list[bytes]) -> None:
+    def _wake_waiters(self, first_offset: int, payloads: list[bytes]) -> None:
         del first_offset, payloads
         self._advanced.set()
         self._advanced = anyio.Event()
@@ -187,9 +189,9 @@
     value: objects.ConfigurationObject,
     others: Mapping[objects.ObjectKey, objects.ConfigurationObject],
 ) -> list[str]:
-    """Returns what is allowed but looks wrong in an object."""
+    """Returns warnings about selectors that select nothing."""
     warnings = []
-    for field, kind in _SELECTED_KINDS.items():
+    for field, kind in _KIND_BY_SELECTOR.items():
         text = getattr(value, field, None)
         if text is None:
             continue
--- a/hillthread/coordination/configuration_file.py
+++ b/hillthread/coordination/configuration_file.py
@@ -1,4 +1,4 @@
-"""Configuration from a file, for a router without a control process."""
+"""Reads the configuration of a router without a control process."""
 
 from __future__ import annotations
 
@@ -28,12 +28,13 @@
         ) from error
     if not isinstance(values, list):
         raise errors.ConfigurationError(
-            f"{path} holds no list.", "Write a JSON list of objects."
+            f"{path} does not contain a JSON list.",
+            "Write the objects as a JSON list.",
         )
     return [objects.decode_object(value) for value in values]
 
 
 def load_table(path: str) -> routing_table.RoutingTable:
-    """Returns the routing table of the objects in a file, position 0."""
+    """Returns a routing table of the objects in a file, at position 0."""
     decoded = {objects.object_key(value): value for value in load_objects(path)}
     return routing_table.RoutingTable(0, decoded)
--- a/hillthread/coordination/log_follower.py
+++ b/hillthread/coordination/log_follower.py
@@ -1,8 +1,8 @@
 """Follows the configuration stream of the platform's log.
 
-The log may be down, slow, truncated, or come back older or different. What is
-in force stays; a log whose history is another than the one applied is refused
-and reported until it agrees again.
+The log may be down, slow or truncated, or come back with an older or different
+content. The configuration in force stays. A log whose history differs from the
+records applied is refused and reported until it matches again.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 __all__ = ["LogFollower", "LogState"]
 
-# How often the log is compared with what was applied.
-_VERIFY_EVERY_S = 5.0
-# The pause after failures doubles up to this.
+# Interval at which the log is compared with the record applied last.
+_VERIFY_INTERVAL_S = 5.0
+# Limit of the pause, which doubles after each failure.
 _MAX_PAUSE_S = 5.0
-# Each host waits this time for each rank before it appends a snapshot.
+# Before it appends a snapshot, a host waits its rank times this.
 _SNAPSHOT_STAGGER_S = 2.0
-# The log holds a read for so long when there is nothing new.
+# The log holds a read open for this time while there is no new record.
 _LONG_POLL_S = 5.0
 
 _logger = logging.getLogger(__name__)
 
 
 class LogState(enum.StrEnum):
-    """What the follower last saw of the log."""
+    """State of the log when it was last read."""
 
     STARTING = "starting"
     FOLLOWING = "following"
@@ -50,10 +50,11 @@
     """Applies the log's records to the keeper.
 
     Attributes:
-        state: What was last seen.
-        rank: Returns this host's turn to write a snapshot, 0 for the first.
-        failures: Reads that failed.
-        snapshots: Snapshots appended by this host.
+        state: State of the log when it was last read.
+        snapshot_rank: Returns this host's rank among the hosts that may write a
+            snapshot, 0 for the first.
+        failures: Number of failed reads and snapshot appends.
+        snapshots: Number of snapshots appended by this host.
     """
 
     def __init__(
@@ -80,27 +81,28 @@
         """Follows the log until cancelled."""
         while True:
             try:
-                await self._step()
+                await self._read_next()
                 self._pause_s = self.poll_s
             except log_client.TruncatedError as error:
                 await self._start_from_snapshot(error.first_offset)
             except errors.LogError:
                 self.failures += 1
-                self._enter(LogState.DOWN)
+                self._set_state(LogState.DOWN)
                 await self._pause()
 
     async def run_snapshots(self) -> None:
-        """Appends snapshots before retention ends, until cancelled.
+        """Appends snapshots before the log drops records, until cancelled.
 
-        There is no leader: hosts wait in an order all compute alike, and one
-        that sees another's snapshot has nothing to do. Two are harmless.
+        There is no leader. Hosts wait in an order that all of them compute
+        alike, and a host that reads another's snapshot appends none. Two
+        snapshots are harmless.
         """
         while True:
             await anyio.sleep(self.poll_s)
-            if not self._snapshot_due():
+            if not self._is_snapshot_due():
                 continue
             await anyio.sleep(self.snapshot_rank() * _SNAPSHOT_STAGGER_S)
-            if not self._snapshot_due():
+            if not self._is_snapshot_due():
                 continue
             try:
                 await self._append_snapshot()
@@ -109,16 +111,16 @@
             await anyio.sleep(_SNAPSHOT_STAGGER_S)
 
     async def _append_snapshot(self) -> None:
-        """Appends one, unless the log has come back older or different."""
-        if not await self._verify():
+        """Appends a snapshot, unless the log came back older or different."""
+        if not await self._verify_log():
             return
         payload = self.keeper.snapshot_payload()
         await self.client.append(self.stream, [payload])
         self.snapshots += 1
 
-    async def _step(self) -> None:
-        if clock.now() - self._verified_at > _VERIFY_EVERY_S:
-            if not await self._verify():
+    async def _read_next(self) -> None:
+        if clock.now() - self._verified_at > _VERIFY_INTERVAL_S:
+            if not await self._verify_log():
                 await self._pause()
                 return
             self._verified_at = clock.now()
@@ -129,18 +131,18 @@
             wait_s=_LONG_POLL_S if self.keeper.has_read_log else 0.0,
         )
         if page.next_offset < start:
-            self._enter(LogState.OLDER)
+            self._set_state(LogState.OLDER)
             self._verified_at = float("-inf")
             await self._pause()
             return
         self.keeper.apply_records(
             start, [each.payload for each in page.records]
         )
-        self._enter(LogState.FOLLOWING)
+        self._set_state(LogState.FOLLOWING)
         if self.keeper.position + 1 >= page.next_offset:
             self.keeper.has_read_log = True
 
-    async def _verify(self) -> bool:
+    async def _verify_log(self) -> bool:
         """Returns whether the log still holds the record last applied."""
         position = self.keeper.position
         last = self.keeper.last_payload()
@@ -148,32 +150,32 @@
             return True
         page = await self.client.read(self.stream, position, limit=1)
         if page.next_offset <= position:
-            self._enter(LogState.OLDER)
+            self._set_state(LogState.OLDER)
             return False
         if last is not None and page.records[0].payload != last:
-            self._enter(LogState.DIFFERENT)
+            self._set_state(LogState.DIFFERENT)
             return False
         return True
 
     async def _start_from_snapshot(self, first_offset: int) -> None:
-        """Catches up over a gap with the newest snapshot on the log."""
+        """Skips a gap by applying the newest snapshot on the log."""
         try:
             records = await self._read_all(first_offset)
         except errors.LogError:
             self.failures += 1
-            self._enter(LogState.DOWN)
+            self._set_state(LogState.DOWN)
             await self._pause()
             return
         for record in reversed(records):
-            if self._restore(record, first_offset):
-                rest = [
+            if self._restore_snapshot(record, first_offset):
+                newer = [
                     each.payload
                     for each in records
                     if each.offset > self.keeper.position
                 ]
-                self.keeper.apply_records(self.keeper.position + 1, rest)
+                self.keeper.apply_records(self.keeper.position + 1, newer)
                 return
-        self._enter(LogState.GAP)
+        self._set_state(LogState.GAP)
         await self._pause()
 
     async def _read_all(self, start: int) -> list[log_client.LogRecord]:
@@ -184,7 +186,9 @@
             if start + len(records) >= page.next_offset:
                 return records
 
-    def _restore(self, record: log_client.LogRecord, first_offset: int) -> bool:
+    def _restore_snapshot(
+        self, record: log_client.LogRecord, first_offset: int
+    ) -> bool:
         try:
             change = configuration.decode_change(record.payload)
         except errors.ConfigurationError:
@@ -195,19 +199,24 @@
             return False
         return self.keeper.apply_snapshot(record.payload)
 
-    def _snapshot_due(self) -> bool:
+    def _is_snapshot_due(self) -> bool:
         state = self.keeper.configuration
-        since = state.position - state.snapshot_position
-        return self.state is LogState.FOLLOWING and since >= self.snapshot_every
+        records_since = state.position - state.snapshot_position
+        return (
+            self.state is LogState.FOLLOWING
+            and records_since >= self.snapshot_every
+        )
 
     async def _pause(self) -> None:
         await anyio.sleep(self.random.uniform(0.5, 1.0) * self._pause_s)
         self._pause_s = min(_MAX_PAUSE_S, self._pause_s * 2)
 
-    def _enter(self, state: LogState) -> None:
+    def _set_state(self, state: LogState) -> None:
         if state is self.state:
             return
-        _logger.info("log is %s", state.value, extra={"code": "log_state"})
+        _logger.info(
+            "state of the log: %s", state.value, extra={"code": "log_state"}
+        )
         if state is not LogState.FOLLOWING:
             self._verified_at = float("-inf")
         self.state = state
--- a/tests/coordination/test_configuration_keeper.py
+++ b/tests/coordination/test_configuration_keeper.py
@@ -1,4 +1,4 @@
-"""Tests of what a host takes from the log and from peers."""
+"""Tests of how a host applies records from the log and from peers."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from hillthread.state.config import configuration
 
 
-def record(name, organisation="o"):
+def make_record(name, organisation="o"):
     return configuration.encode_change(
         configuration.Put(
             record_id=name + organisation,
@@ -19,34 +19,34 @@
     )  # fmt: skip
 
 
-RECORDS = [record(name) for name in "abcdef"]
+RECORDS = [make_record(name) for name in "abcdef"]
 
 
-def keeper(*payloads):
-    made = configuration_keeper.ConfigurationKeeper()
+def make_keeper(*payloads):
+    new_keeper = configuration_keeper.ConfigurationKeeper()
     if payloads:
-        made.apply_records(0, payloads)
-    return made
+        new_keeper.apply_records(0, payloads)
+    return new_keeper
 
 
 class ConfigurationKeeperTest(unittest.TestCase):
-    def test_takes_what_follows_and_passes_over_what_is_known(self):
-        own = keeper(*RECORDS[:2])
+    def test_applies_new_records_and_skips_known_ones(self):
+        own = make_keeper(*RECORDS[:2])
         self.assertTrue(own.apply_records(0, RECORDS[:4]))
         self.assertEqual(own.position, 3)
         self.assertFalse(own.apply_records(1, RECORDS[1:3]))
         self.assertFalse(own.apply_records(5, RECORDS[5:]))
         self.assertEqual(own.position, 3)
 
-    def test_passes_on_only_what_is_new(self):
-        own = keeper(*RECORDS[:2])
-        passed = []
-        own.listeners.append(lambda *news: passed.append(news))
+    def test_listeners_get_only_new_records(self):
+        own = make_keeper(*RECORDS[:2])
+        calls = []
+        own.listeners.append(lambda *arguments: calls.append(arguments))
         own.apply_records(0, RECORDS[:4])
-        self.assertEqual(passed, [(2, RECORDS[2:4])])
+        self.assertEqual(calls, [(2, RECORDS[2:4])])
 
-    def test_nothing_is_in_force_below_what_a_peer_told(self):
-        own = keeper(*RECORDS[:2])
+    def test_nothing_is_in_force_below_a_peer_position(self):
+        own = make_keeper(*RECORDS[:2])
         own.has_read_log = True
         self.assertTrue(own.is_in_force())
         own.record_peer_position(3)
@@ -54,17 +54,17 @@
         own.apply_records(2, RECORDS[2:4])
         self.assertTrue(own.is_in_force())
 
-    def test_nothing_is_in_force_while_peers_may_tell_more(self):
-        own = keeper(*RECORDS[:2])
+    def test_nothing_is_in_force_while_awaiting_peers(self):
+        own = make_keeper(*RECORDS[:2])
         own.has_read_log = own.is_awaiting_peers = True
         self.assertFalse(own.is_in_force())
         own.record_peer_position(1)
         self.assertTrue(own.is_in_force())
 
-    def test_another_history_is_refused_until_a_snapshot_comes(self):
-        """A log that came back older may have gone on another way."""
-        peer = keeper(*RECORDS[:5])
-        own = keeper(RECORDS[0], record("b", "other"))
+    def test_different_history_is_refused_until_snapshot_is_applied(self):
+        """A log restored from an older copy may continue differently."""
+        peer = make_keeper(*RECORDS[:5])
+        own = make_keeper(RECORDS[0], make_record("b", "other"))
         own.record_peer_position(peer.position)
         chain = peer.configuration.chain
         self.assertFalse(own.apply_records(2, RECORDS[2:5], chain))
@@ -76,17 +76,17 @@
         self.assertTrue(own.is_in_force())
 
     def test_older_snapshot_changes_nothing(self):
-        own = keeper(*RECORDS[:4])
+        own = make_keeper(*RECORDS[:4])
         self.assertFalse(
-            own.apply_snapshot(keeper(RECORDS[0]).snapshot_payload())
+            own.apply_snapshot(make_keeper(RECORDS[0]).snapshot_payload())
         )
         self.assertEqual(own.position, 3)
 
-    def test_keeps_recent_records_for_others(self):
-        own = keeper(*RECORDS[:4])
+    def test_keeps_recent_records_for_peers(self):
+        own = make_keeper(*RECORDS[:4])
         self.assertEqual(own.records_after(1), RECORDS[2:4])
         self.assertEqual(own.records_after(3), [])
         self.assertIsNone(own.records_after(-2))
-        late = keeper()
-        late.apply_snapshot(own.snapshot_payload())
-        self.assertIsNone(late.records_after(1))
+        restored = make_keeper()
+        restored.apply_snapshot(own.snapshot_payload())
+        self.assertIsNone(restored.records_after(1))
