--- a/hillthread/coordination/order_keeper.py
+++ b/hillthread/coordination/order_keeper.py
@@ -1,12 +1,13 @@
-"""Orders to engines: the configuration is what is wanted, orders follow it.
+"""Orders engines to load the weights that the configuration names.
 
-One host of a data centre holds the lease and gives orders. An order is given
-again until the engine is seen to run what is wanted, which makes a lost answer
-harmless. It carries the lease's fencing number for engines that honour it, and
-a deadline; for engines that do not, a new holder first waits that deadline.
+One host of a data centre holds the lease and sends orders. An order is sent
+again until the engine reports the wanted weights, so that a lost answer is
+harmless. It carries the lease's fencing token, for engines that check it, and a
+deadline. A new lease holder waits for that deadline before it sends orders to
+engines that do not check the token.
 
-An engine that fails to take an order holds up no other: it is ordered again
-after a pause that doubles, and comes after those that have not failed.
+An engine whose order failed delays no other: it is retried after a pause that
+doubles, and after the engines whose orders have not failed.
 """
 
 from __future__ import annotations
@@ -28,31 +29,33 @@
 
 __all__ = ["OrderKeeper"]
 
-# How often wanted weights are compared with those that run.
-_CHECK_S = 0.2
-# Engines of a data centre that load at once; docs/DESIGN.md, "Orders".
-_MAX_LOADS = 2
-# Orders carry this deadline, and a new holder waits it out before engines that
-# ignore fencing numbers.
-_DEADLINE_S = 3.0
-# An engine of the own data centre takes a connection within milliseconds.
-_CONNECT_S = 1.0
-# Pauses after orders that failed, up to 8 s: a target that is back waits no
-# longer, and one that is not takes a place for 3 s in 11 at most.
-_FIRST_PAUSE_S = 0.5
-_MAX_DOUBLINGS = 4
+# Interval at which wanted weights are compared with those that run.
+_CHECK_INTERVAL_S = 0.2
+# Engines of a data centre that load weights concurrently; see docs/DESIGN.md,
+# "Orders".
+_MAX_CONCURRENT_LOADS = 2
+# Deadline of an order. A new lease holder waits this long before it sends
+# orders to engines that ignore the fencing token.
+_ORDER_DEADLINE_S = 3.0
+# Engines of the same data centre accept a connection within milliseconds.
+_CONNECT_TIMEOUT_S = 1.0
+# Pause after a failed order, which doubles up to 8 s. A target that recovers
+# waits no longer than that, and one that does not takes one of the concurrent
+# loads for at most 3 s in 11 s.
+_FIRST_RETRY_PAUSE_S = 0.5
+_MAX_PAUSE_DOUBLINGS = 4
 
 _logger = logging.getLogger(__name__)
 
 
 class Order(NamedTuple):
-    """What an engine is told, as JSON.
+    """An order as sent to an engine, as JSON.
 
     Attributes:
-        order_id: Unique.
-        fencing: Of the lease.
-        weights_version: To be loaded.
-        deadline_s: Seconds after its arrival when it is void.
+        order_id: Unique identifier.
+        fencing: Fencing token of the lease.
+        weights_version: Version to load.
+        deadline_s: Seconds after its arrival at which the order expires.
     """
 
     order_id: str
@@ -62,11 +65,11 @@
 
 
 class Retry(NamedTuple):
-    """What follows from orders to one target that failed.
+    """When to retry a target whose last order failed.
 
     Attributes:
-        failures: In a row.
-        due_at: Monotonic seconds before which it gets no order.
+        failures: Number of consecutive failures.
+        due_at: Monotonic seconds; the target gets no order before.
     """
 
     failures: int
@@ -77,12 +80,12 @@
 
 
 class OrderKeeper:
-    """Has the data centre's engines load the weights that are wanted.
+    """Orders the data centre's engines to load the wanted weights.
 
     Attributes:
-        loading: Targets with an order under way.
-        retries: Targets whose last order failed. Newer weights change nothing
-            here: what failed is the target, not the version.
+        loading: Targets with an order in progress.
+        retries: Targets whose last order failed. Newer weights do not reset
+            them, since the target failed and not the version.
     """
 
     def __init__(
@@ -97,7 +100,9 @@
         self.retries: dict[str, Retry] = {}
         self.client = httpx.AsyncClient(
             trust_env=False,
-            timeout=httpx.Timeout(_DEADLINE_S, connect=_CONNECT_S),
+            timeout=httpx.Timeout(
+                _ORDER_DEADLINE_S, connect=_CONNECT_TIMEOUT_S
+            ),
         )
         self.orders = prometheus_client.Counter(
             "hillthread_orders",
@@ -107,37 +112,39 @@
         )
 
     async def run(self) -> None:
-        """Gives orders while this host holds the lease."""
+        """Sends orders while this host holds the lease."""
         async with anyio.create_task_group() as group:
             while True:
-                await anyio.sleep(_CHECK_S)
+                await anyio.sleep(_CHECK_INTERVAL_S)
                 if self.lease.may_act():
                     self._reconcile(group)
 
     def _may_order(self, target: objects.Target) -> bool:
-        """Returns whether orders of a former holder can no longer act.
+        """Returns whether orders of a former holder can no longer take effect.
 
-        An engine that honours fencing numbers refuses them by itself.
+        An engine that checks the fencing token refuses them by itself.
         """
         acquired_at = self.lease.acquired_at
         if acquired_at is None:
             return False
         if target.honours_fencing:
             return True
-        return clock.now() - acquired_at >= _DEADLINE_S
+        return clock.now() - acquired_at >= _ORDER_DEADLINE_S
 
     def _reconcile(self, group: anyio.abc.TaskGroup) -> None:
         engines = self.node.engines.list_all()
-        wanting = self._wanting(engines)
-        self._forget_retries(wanting)
-        for target in self._in_order(wanting):
-            if len(self.loading) >= self._most_loads(target, engines):
+        outdated = self._list_outdated(engines)
+        self._drop_retries(outdated)
+        for target in self._sort_due(outdated):
+            if len(self.loading) >= self._compute_load_limit(target, engines):
                 continue
             self.loading.add(target.name)
-            group.start_soon(self._give, target)
+            group.start_soon(self._run_order, target)
 
-    def _wanting(self, engines: list[objects.Target]) -> list[objects.Target]:
-        """Returns the targets that run other weights than wanted."""
+    def _list_outdated(
+        self, engines: list[objects.Target]
+    ) -> list[objects.Target]:
+        """Returns the targets to order: those that run outdated weights."""
         return [
             target
             for target in engines
@@ -149,65 +156,76 @@
             != target.weights_version
         ]
 
-    def _forget_retries(self, wanting: list[objects.Target]) -> None:
-        """Forgets the failures of targets that have what is wanted."""
-        kept = {target.name for target in wanting} | self.loading
+    def _drop_retries(self, outdated: list[objects.Target]) -> None:
+        """Drops the retries of targets that now run the wanted weights."""
+        kept = {target.name for target in outdated} | self.loading
         for name in self.retries.keys() - kept:
             del self.retries[name]
 
-    def _in_order(self, wanting: list[objects.Target]) -> list[objects.Target]:
-        """Returns the targets that are due, the likeliest to answer first."""
+    def _sort_due(self, outdated: list[objects.Target]) -> list[objects.Target]:
+        """Returns the targets that are due, the most likely to answer first.
+
+        Those with the fewest failures come first, and of these the ones seen
+        most recently.
+        """
         now = clock.now()
         due = [
-            target for target in wanting if self._retry_of(target).due_at <= now
+            target
+            for target in outdated
+            if self._get_retry(target).due_at <= now
         ]
         return sorted(
             due,
             key=lambda target: (
-                self._retry_of(target).failures,
+                self._get_retry(target).failures,
                 -self.node.engines.seen_at.get(target.name, float("-inf")),
             ),
         )
 
-    def _retry_of(self, target: objects.Target) -> Retry:
+    def _get_retry(self, target: objects.Target) -> Retry:
         return self.retries.get(target.name, _NO_FAILURE)
 
-    def _most_loads(
+    def _compute_load_limit(
         self, target: objects.Target, engines: list[objects.Target]
     ) -> int:
-        """Returns loads allowed at once: never all targets of a model."""
+        """Returns how many targets may load concurrently.
+
+        At most half of the targets that share a model with this one, so that
+        never all of them load at once, but at least one.
+        """
         serving = [
             each for each in engines if set(each.models) & set(target.models)
         ]
-        return max(1, min(_MAX_LOADS, len(serving) // 2))
+        return max(1, min(_MAX_CONCURRENT_LOADS, len(serving) // 2))
 
-    async def _give(self, target: objects.Target) -> None:
+    async def _run_order(self, target: objects.Target) -> None:
         order = Order(
             secrets.token_hex(8),
             self.lease.fencing_token,
             target.weights_version,
-            _DEADLINE_S,
+            _ORDER_DEADLINE_S,
         )
         try:
-            outcome = await self._send(target, order)
+            outcome = await self._send_order(target, order)
             self.orders.labels(outcome).inc()
-            self._note_outcome(target, outcome)
+            self._record_outcome(target, outcome)
         finally:
             self.loading.discard(target.name)
 
-    def _note_outcome(self, target: objects.Target, outcome: str) -> None:
-        """Lets a target that failed wait, the longer the more often it did."""
+    def _record_outcome(self, target: objects.Target, outcome: str) -> None:
+        """Schedules a retry if the order failed; each pause is longer."""
         match outcome:
             case "done":
                 self.retries.pop(target.name, None)
             case "refused" | "unknown" | "unheeded":
-                failures = self._retry_of(target).failures + 1
-                doublings = min(failures - 1, _MAX_DOUBLINGS)
-                pause_s = _FIRST_PAUSE_S * 2**doublings
+                failures = self._get_retry(target).failures + 1
+                doublings = min(failures - 1, _MAX_PAUSE_DOUBLINGS)
+                pause_s = _FIRST_RETRY_PAUSE_S * 2**doublings
                 due_at = clock.now() + pause_s
                 self.retries[target.name] = Retry(failures, due_at)
                 _logger.warning(
-                    "order to %s to load %s: %s, %d in a row; again in %.1f s",
+                    "order to %s to load %s failed: %s; "
+                    "consecutive failures: %d; retry in %.1f s",
                     target.name,
                     target.weights_version,
                     outcome,
@@ -216,11 +234,11 @@
                     extra={"code": "order_failed"},
                 )
 
-    async def _send(self, target: objects.Target, order: Order) -> str:
+    async def _send_order(self, target: objects.Target, order: Order) -> str:
         if not self.lease.may_act():
             return "lease_lost"
         try:
-            with anyio.fail_after(_DEADLINE_S):
+            with anyio.fail_after(_ORDER_DEADLINE_S):
                 response = await self.client.post(
                     f"http://{target.address}{engine.ORDERS_PATH}",
                     json=order._asdict(),
--- a/tests/coordination/test_lease_keeper.py
+++ b/tests/coordination/test_lease_keeper.py
@@ -1,4 +1,4 @@
-"""Tests of a lease whose stream has lost its beginning."""
+"""Tests of a lease whose stream was truncated at the beginning."""
 
 import unittest
 
@@ -11,12 +11,12 @@
 TTL_S = 1.2
 
 
-class Log:
-    """As much of a log client as a lease needs; shared by all hosts."""
+class FakeLog:
+    """Fake log client for leases; all hosts share it."""
 
     def __init__(self):
         self.payloads = []
-        self.first = 0
+        self.first_offset = 0
         self.changed = anyio.Event()
 
     async def append(self, stream, payloads):
@@ -31,27 +31,29 @@
         with anyio.move_on_after(wait_s):
             while start >= len(self.payloads):
                 await self.changed.wait()
-        if start < self.first:
-            raise log_client.TruncatedError(self.first)
+        if start < self.first_offset:
+            raise log_client.TruncatedError(self.first_offset)
         records = [
             log_client.LogRecord(offset, self.payloads[offset])
             for offset in range(start, len(self.payloads))
         ]
-        return log_client.LogPage(self.first, len(self.payloads), records)
+        return log_client.LogPage(
+            self.first_offset, len(self.payloads), records
+        )
 
     def truncate(self, offset):
-        self.first = offset
+        self.first_offset = offset
 
 
 class LeaseKeeperTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.log = Log()
+        self.log = FakeLog()
 
     def make_keeper(self, name):
         return lease_keeper.LeaseKeeper(self.log, "orders", name, TTL_S)
 
-    async def most_that_act(self, keepers, run_s):
-        """Returns how many acted at once, at most, over a time."""
+    async def max_concurrent_holders(self, keepers, run_s):
+        """Returns the largest number of keepers that held the lease at once."""
         most = 0
         async with anyio.create_task_group() as group:
             for keeper in keepers:
@@ -63,7 +65,7 @@
             group.cancel_scope.cancel()
         return most
 
-    async def test_host_that_starts_on_a_shortened_log_takes_no_second(self):
+    async def test_host_starting_on_truncated_log_waits_for_holder(self):
         first = self.make_keeper("a")
         async with anyio.create_task_group() as group:
             group.start_soon(first.run)
@@ -80,18 +82,21 @@
             group.cancel_scope.cancel()
         self.assertEqual(second.contender.state.holder, "a")
 
-    async def test_host_that_fell_behind_takes_no_second(self):
-        """It was paused while another took the lease and records went."""
+    async def test_host_behind_truncated_log_waits_for_holder(self):
+        """The host is paused while another acquires the lease.
+
+        Meanwhile the log drops the records that show it.
+        """
         follower = self.make_keeper("b")
-        old = lease.Acquire(holder="x", after=-1, number=1)
-        self.log.payloads = [lease.encode_lease(old)]
+        old_acquisition = lease.Acquire(holder="x", after=-1, number=1)
+        self.log.payloads = [lease.encode_lease(old_acquisition)]
         follower.contender.read(0, self.log.payloads[0], 0.0)
-        taken = lease.Acquire(holder="a", after=0, number=1)
+        new_acquisition = lease.Acquire(holder="a", after=0, number=1)
         renewals = [
             lease.encode_lease(lease.Renew(holder="a", fencing=1, number=n))
             for n in range(2, 6)
         ]
-        self.log.payloads += [lease.encode_lease(taken), *renewals]
+        self.log.payloads += [lease.encode_lease(new_acquisition), *renewals]
         self.log.truncate(4)
         async with anyio.create_task_group() as group:
             group.start_soon(follower.run)
@@ -101,13 +106,13 @@
         self.assertEqual(follower.fencing_token, 1)
         self.assertFalse(follower.may_act())
 
-    async def test_lease_is_taken_after_the_holder_is_gone(self):
-        gone = lease.Acquire(holder="x", after=-1, number=1)
+    async def test_one_host_acquires_lease_of_crashed_holder(self):
+        acquisition = lease.Acquire(holder="x", after=-1, number=1)
         renewal = lease.Renew(holder="x", fencing=0, number=2)
         self.log.payloads = [
-            lease.encode_lease(gone),
+            lease.encode_lease(acquisition),
             lease.encode_lease(renewal),
         ]
         self.log.truncate(1)
         keepers = [self.make_keeper("a"), self.make_keeper("b")]
-        self.assertEqual(await self.most_that_act(keepers, 4.0), 1)
+        self.assertEqual(await self.max_concurrent_holders(keepers, 4.0), 1)
