--- a/hillthread/coordination/exchange.py
+++ b/hillthread/coordination/exchange.py
@@ -1,4 +1,4 @@
-"""One caller's request on its way through the router."""
+"""The state of one request while the router serves it."""
 
 from __future__ import annotations
 
@@ -19,18 +19,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A request with everything that applies to it.
+    """A request with its answer and its decision record.
 
     Attributes:
-        request: As it came in.
-        send: Where the answer goes.
-        intent: What it asks for.
-        tenant: Who asks.
-        record: What will be explained.
-        arrived: Monotonic seconds.
+        request: As received.
+        send: Sends the answer to the caller.
+        intent: The parsed request.
+        tenant: The tenant that sent it.
+        record: The decision record, filled as the request is served.
+        arrived_at: Monotonic seconds.
         deadline: Monotonic seconds.
-        started: Whether the head of the answer was sent to the caller.
-        closing: Whether the caller's connection is to be closed after it.
+        has_sent_head: Whether the head of the answer was sent to the caller.
+        closes_connection: Whether the caller's connection is to be closed after
+            the answer.
     """
 
     request: http_server.Request
@@ -50,7 +51,7 @@
 
     @property
     def completion(self) -> openai.CompletionRequest | None:
-        """The checked completion request; None for plain services."""
+        """The validated completion request; None for plain services."""
         return self.parsed.completion
 
     @property
@@ -64,13 +65,13 @@
         return self.completion is not None and self.completion.stream
 
     def elapsed(self) -> float:
-        """Returns seconds since the request came in."""
+        """Returns the seconds since the request arrived."""
         return clock.now() - self.arrived_at
 
     def add_attempt(
         self, decision: decision_lib.Decision
     ) -> records.AttemptRecord:
-        """Returns the record of a new attempt."""
+        """Adds a new attempt to the decision record and returns it."""
         number = len(self.record.attempts) + 1
         attempt = records.AttemptRecord(
             f"{self.request_id}-{number}",
@@ -86,7 +87,7 @@
         return attempt
 
     def run_state(self) -> errors.RunState:
-        """Returns whether a target ran the request, from all attempts."""
+        """Returns whether a target ran the request, judging by all attempts."""
         return records.infer_run_state(self.record.attempts)
 
     async def begin_answer(
@@ -106,11 +107,11 @@
         )
 
     async def send_chunk(self, data: bytes) -> None:
-        """Sends a part of the answer; waits while the caller is slow."""
+        """Sends a chunk of the body; waits while the caller is slow."""
         await self.send(
             {"type": "http.response.body", "body": data, "more_body": True}
         )
 
     async def end_answer(self, data: bytes = b"") -> None:
-        """Ends the answer cleanly; only for whole answers."""
+        """Sends the last chunk; only for answers that are complete."""
         await self.send({"type": "http.response.body", "body": data})
--- a/hillthread/coordination/record_archive.py
+++ b/hillthread/coordination/record_archive.py
@@ -1,10 +1,10 @@
 """Decision records on the log: for requests whose host is gone.
 
-Only records worth asking about are kept there: all that were not plainly
-answered, and a sample of the rest, as the log takes few appends. During an
-outage they wait in bounded memory; what could not be kept is counted. A batch
-that fails goes to the end of the line, and the next ones are smaller, so that a
-record which the log does not take holds up no other.
+Since the log accepts few appends, only some records are kept there: those of
+all requests that did not simply succeed, and a sample of the rest. During an
+outage of the log, records wait in bounded memory, and those dropped are
+counted. A failed batch goes to the end of the queue and the next batches are
+smaller, so that a record which the log refuses does not block the others.
 """
 
 from __future__ import annotations
@@ -22,27 +22,28 @@
 
 __all__ = ["RecordArchive", "record_stream_name"]
 
-# Records of this time share an append.
-_FLUSH_S = 1.0
-# Bound on appending what waits at a stop.
-_STOP_S = 2.0
-# Records that wait for the log; the oldest are dropped and counted.
-_MAX_WAITING = 2000
-# Records in one append: about 290 KB.
-_MAX_BATCH = 100
-# Pages of a stream that one question reads at most.
-_MAX_SEARCHED = 5000
+# Records of this interval share an append.
+_FLUSH_INTERVAL_S = 1.0
+# Time limit for appending the waiting records when the process stops.
+_STOP_TIMEOUT_S = 2.0
+# Records that wait for the log; beyond this, the oldest are dropped and
+# counted.
+_MAX_WAITING_RECORDS = 2000
+# Records in one append, of about 290 KB together.
+_MAX_BATCH_RECORDS = 100
+# Limit of pages of a stream read for one query.
+_MAX_SEARCHED_PAGES = 5000
 
 _logger = logging.getLogger(__name__)
 
 
 def record_stream_name(data_centre: str) -> str:
-    """Returns the stream of a data centre's records."""
+    """Returns the name of the stream of a data centre's records."""
     return f"records-{data_centre}"
 
 
 class RecordArchive:
-    """Writes this host's records to the log and searches all of them.
+    """Writes this host's records to the log and searches those of all hosts.
 
     Attributes:
         waiting: Records not yet appended.
@@ -59,7 +60,7 @@
         self.data_centre = data_centre
         self.data_centres = data_centres
         self.waiting: collections.deque[bytes] = collections.deque()
-        self._batch_size = _MAX_BATCH
+        self._batch_size = _MAX_BATCH_RECORDS
         self.outcomes = prometheus_client.Counter(
             "hillthread_archived_records",
             "Decision records by what became of them.",
@@ -68,31 +69,31 @@
         )
 
     def add(self, document: bytes) -> None:
-        """Takes a record, as JSON; drops the oldest when there is no room."""
+        """Queues a record, as JSON; drops the oldest if the queue is full."""
         self.waiting.append(document)
-        if len(self.waiting) > _MAX_WAITING:
+        if len(self.waiting) > _MAX_WAITING_RECORDS:
             self.waiting.popleft()
             self.outcomes.labels("lost").inc()
 
     async def run(self) -> None:
-        """Appends what waits, in batches, until cancelled."""
+        """Appends the waiting records, in batches, until cancelled."""
         while True:
-            await anyio.sleep(_FLUSH_S)
-            while self.waiting and await self._flush():
+            await anyio.sleep(_FLUSH_INTERVAL_S)
+            while self.waiting and await self._flush_batch():
                 pass
 
     async def flush(self) -> None:
-        """Appends all that waits, as far as the log takes it at once."""
-        with anyio.move_on_after(_STOP_S):
-            while self.waiting and await self._flush():
+        """Appends the waiting records until the log fails or time runs out."""
+        with anyio.move_on_after(_STOP_TIMEOUT_S):
+            while self.waiting and await self._flush_batch():
                 pass
 
     async def find(self, request_id: str, tenant: str) -> list[dict[str, Any]]:
-        """Returns the records of a request on the log; none when it is down.
+        """Returns the records of a request on the log; none if it is down.
 
         Args:
-            request_id: Which request.
-            tenant: Whose it must be; empty for anyone's.
+            request_id: The request's identifier.
+            tenant: The tenant that sent it; empty for any tenant.
         """
         found: list[dict[str, Any]] = []
         for data_centre in self.data_centres:
@@ -102,11 +103,11 @@
                 continue
         return [record for record in found if tenant in ("", record["tenant"])]
 
-    async def _flush(self) -> bool:
-        """Appends one batch; returns whether it was.
+    async def _flush_batch(self) -> bool:
+        """Appends one batch; returns whether it succeeded.
 
-        A batch whose answer was lost is appended again: a record that stands
-        twice is found once.
+        A batch whose reply was lost is appended again. A search returns a
+        record that is on the log twice only once.
         """
         batch = [
             self.waiting.popleft()
@@ -118,19 +119,19 @@
                 record_stream_name(self.data_centre), [payload]
             )
         except errors.HillthreadError as error:
-            self._put_back(batch, error)
+            self._requeue(batch, error)
             return False
-        self._batch_size = min(_MAX_BATCH, self._batch_size * 2)
+        self._batch_size = min(_MAX_BATCH_RECORDS, self._batch_size * 2)
         self.outcomes.labels("kept").inc(len(batch))
         return True
 
-    def _put_back(
+    def _requeue(
         self, batch: list[bytes], error: errors.HillthreadError
     ) -> None:
         self.waiting.extend(batch)
         self._batch_size = max(1, self._batch_size // 2)
         _logger.warning(
-            "%d records were not kept yet, %d wait: %s",
+            "append of %d records failed, %d records wait: %s",
             len(batch),
             len(self.waiting),
             error,
@@ -140,18 +141,18 @@
     async def _search(
         self, data_centre: str, request_id: str
     ) -> list[dict[str, Any]]:
-        """Returns the request's record among the newest of a stream."""
+        """Returns the request's record from a stream, or an empty list."""
         stream = record_stream_name(data_centre)
-        needle = request_id.encode()
+        id_bytes = request_id.encode()
         start = 0
-        for _ in range(_MAX_SEARCHED):
+        for _ in range(_MAX_SEARCHED_PAGES):
             try:
                 page = await self.client.read(stream, start)
             except log_client.TruncatedError as error:
                 start = error.first_offset
                 continue
             for record in page.records:
-                if needle not in record.payload:
+                if id_bytes not in record.payload:
                     continue
                 for document in msgspec.json.decode(record.payload):
                     if document["request_id"] == request_id:
--- a/tests/coordination/test_record_archive.py
+++ b/tests/coordination/test_record_archive.py
@@ -1,4 +1,4 @@
-"""Tests of keeping decision records when the log refuses some."""
+"""Tests of archiving decision records when the log refuses some."""
 
 import unittest
 
@@ -7,15 +7,15 @@
 from hillthread import errors
 from hillthread.coordination import record_archive
 
-POISON = b'{"request_id":"poison"}'
+REFUSED = b'{"request_id":"poison"}'
 
 
 def document(number):
     return b'{"request_id":"%d"}' % number
 
 
-class Log:
-    """A log that takes no batch with a certain record."""
+class FakeLog:
+    """Fake log that refuses each batch with one certain record."""
 
     def __init__(self):
         self.kept = b""
@@ -25,41 +25,41 @@
     async def append(self, stream, payloads):
         del stream
         self.appends += 1
-        if self.down or POISON in payloads[0]:
+        if self.down or REFUSED in payloads[0]:
             raise errors.LogError("refused", "wait")
         self.kept += payloads[0]
 
 
 class RecordArchiveTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
-        self.log = Log()
+        self.log = FakeLog()
         self.archive = record_archive.RecordArchive(
             self.log, "dc1", ["dc1"], prometheus_client.CollectorRegistry()
         )
 
-    async def rounds(self, count):
+    async def flush_repeatedly(self, count):
         for _ in range(count):
             await self.archive.flush()
 
     def all_kept(self, numbers):
         return all(document(number) in self.log.kept for number in numbers)
 
-    async def test_record_the_log_refuses_holds_up_no_other(self):
-        self.archive.add(POISON)
+    async def test_refused_record_does_not_delay_others(self):
+        self.archive.add(REFUSED)
         for number in range(250):
             self.archive.add(document(number))
-        await self.rounds(20)
+        await self.flush_repeatedly(20)
         self.assertTrue(self.all_kept(range(250)))
-        self.assertEqual(list(self.archive.waiting), [POISON])
+        self.assertEqual(list(self.archive.waiting), [REFUSED])
 
-    async def test_all_are_kept_after_an_outage(self):
+    async def test_all_records_are_kept_after_an_outage(self):
         self.log.down = True
         for number in range(250):
             self.archive.add(document(number))
-        await self.rounds(20)
+        await self.flush_repeatedly(20)
         self.assertEqual(self.log.appends, 20)
         self.log.down = False
         self.log.appends = 0
-        await self.rounds(1)
+        await self.flush_repeatedly(1)
         self.assertTrue(self.all_kept(range(250)))
         self.assertLess(self.log.appends, 15)
