--- a/hillthread/coordination/record_archive.py
+++ b/hillthread/coordination/record_archive.py
@@ -1,4 +1,4 @@
-"""Decision records on the log: for requests whose host is gone.
+"""Decision records on the log, for requests whose host is unreachable.
 
 Since the log accepts few appends, only some records are kept there: those of
 all requests that did not simply succeed, and a sample of the rest. During an
--- a/tests/coordination/test_dialer.py
+++ b/tests/coordination/test_dialer.py
@@ -27,10 +27,10 @@
     ]
 
 
-def list_links(everyone):
+def list_links(host_settings):
     return [
         frozenset([own.host, peer.host])
-        for own in everyone
+        for own in host_settings
         for peer in dialer.select_peers(own)
     ]
 
@@ -51,17 +51,17 @@
         self.assertEqual(len(found) - len(inside), 10 * 4)
 
     def test_lost_gateways_are_replaced(self):
-        everyone = make_settings(2, 4)
+        host_settings = make_settings(2, 4)
         between = [
             (own.host, peer.host)
-            for own in everyone
+            for own in host_settings
             for peer in dialer.select_peers(own)
             if own.data_centre != peer.data_centre
         ]
         lost = frozenset(between[0])
         replacements = [
             (own.host, peer.host)
-            for own in everyone
+            for own in host_settings
             if own.host not in lost
             for peer in dialer.select_peers(own, lost)
             if own.data_centre != peer.data_centre
--- a/tests/coordination/test_record_archive.py
+++ b/tests/coordination/test_record_archive.py
@@ -10,7 +10,7 @@
 REFUSED = b'{"request_id":"poison"}'
 
 
-def document(number):
+def make_document(number):
     return b'{"request_id":"%d"}' % number
 
 
@@ -41,25 +41,25 @@
         for _ in range(count):
             await self.archive.flush()
 
-    def all_kept(self, numbers):
-        return all(document(number) in self.log.kept for number in numbers)
+    def are_all_kept(self, numbers):
+        return all(make_document(number) in self.log.kept for number in numbers)
 
     async def test_refused_record_does_not_delay_others(self):
         self.archive.add(REFUSED)
         for number in range(250):
-            self.archive.add(document(number))
+            self.archive.add(make_document(number))
         await self.flush_repeatedly(20)
-        self.assertTrue(self.all_kept(range(250)))
+        self.assertTrue(self.are_all_kept(range(250)))
         self.assertEqual(list(self.archive.waiting), [REFUSED])
 
     async def test_all_records_are_kept_after_an_outage(self):
         self.log.down = True
         for number in range(250):
-            self.archive.add(document(number))
+            self.archive.add(make_document(number))
         await self.flush_repeatedly(20)
         self.assertEqual(self.log.appends, 20)
         self.log.down = False
         self.log.appends = 0
         await self.flush_repeatedly(1)
-        self.assertTrue(self.all_kept(range(250)))
+        self.assertTrue(self.are_all_kept(range(250)))
         self.assertLess(self.log.appends, 15)
