--- a/hillthread/platform/__init__.py
+++ b/hillthread/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Speaks the platform of the users: names, formats and calls, no decisions."""
+"""Adapter to the users' platform: names, formats and calls, no decisions."""
--- a/hillthread/platform/attempts.py
+++ b/hillthread/platform/attempts.py
@@ -1,4 +1,4 @@
-"""Encodes attempts for targets and decodes what their answers mean."""
+"""Encodes the headers of attempts and decodes those of targets' answers."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     "parse_whole_number",
 ]
 
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     [
         b"connection",
         b"keep-alive",
@@ -36,9 +36,9 @@
         b"upgrade",
     ]
 )
-# Headers of answers that have a meaning here, or that HTTP defines and hosts
-# only relay.
-_KNOWN_HEADERS = _HOP_BY_HOP | frozenset(
+# Headers of answers that this module reads, or that HTTP defines and hosts only
+# relay. All others are reported as unknown.
+_KNOWN_HEADERS = _HOP_BY_HOP_HEADERS | frozenset(
     [
         names.INCARNATION,
         names.NOT_RUN,
@@ -57,21 +57,22 @@
         b"vary",
     ]
 )
-_FRAMING = frozenset([b"content-length", b"expect"])
-# A deadline of 0 would be none.
-_LEAST_DEADLINE_MS = 1
-# No count has more: what a caller writes must not take long to read.
-_MOST_DIGITS = 15
-# Engines know 0 to 9, the most urgent first.
-_HIGHEST_PRIORITY = 9
+_FRAMING_HEADERS = frozenset([b"content-length", b"expect"])
+# Targets take a deadline of 0 as no deadline.
+_MIN_DEADLINE_MS = 1
+# No valid count has more digits; the limit bounds the time that parsing a
+# caller's header takes.
+_MAX_DIGITS = 15
+# Engines accept priorities from 0, the most urgent, to 9.
+_MAX_PRIORITY_VALUE = 9
 
 
 class PromptPart(NamedTuple):
     """One part of a prompt.
 
     Attributes:
-        digest: Names its text; equal for equal text.
-        tokens: Its length.
+        digest: Digest of its text.
+        tokens: Its length in tokens.
     """
 
     digest: str
@@ -79,13 +80,14 @@
 
 
 class PromptHeaders(NamedTuple):
-    """What a request says of its prompt.
+    """The description of a prompt in the headers of a request.
 
     Attributes:
-        model: The model asked for; empty for plain services.
-        parts: In order; the last belongs to the request or its session.
-        counted_tokens: Of the prompt and of the longest answer wanted; None
-            when the request does not tell both.
+        model: The requested model; empty for plain services.
+        parts: The prompt's parts in order; the last one belongs to the request
+            or its session.
+        counted_tokens: Tokens of the prompt and of the longest requested
+            answer together; None unless the request states both.
     """
 
     model: str = ""
@@ -94,21 +96,22 @@
 
 
 class AnswerMeaning(NamedTuple):
-    """What the head of an answer says.
+    """The information in the head of a target's answer.
 
     Attributes:
-        request_id: Whose answer it is.
+        request_id: Id of the answered request.
         not_run: The target did not run the request and never will.
-        has_receipt: Whether it carries a target's receipt.
-        incarnation: Who answered; empty when not told.
-        weights_version: Weights it ran with; None when not told.
-        encoded: The body is not the target's own bytes.
-        is_leaving: The target is about to end and wants no new work.
-        backoff_s: The target wants no further request from this host for so
-            many seconds; 0 when it asks for no back-off.
-        limit_per_s: Requests a second that the target takes from all hosts
-            together; None when it names no limit.
-        unknown_headers: Names of headers that mean nothing here.
+        has_receipt: The answer carries a target's receipt.
+        incarnation: Incarnation of the target; empty if not stated.
+        weights_version: Version of the weights used; None if not stated.
+        is_encoded: The body has a content encoding, so that its bytes are not
+            the target's own.
+        is_leaving: The target is about to shut down and accepts no new work.
+        backoff_s: Seconds for which the target accepts no further request from
+            this host; 0 if it requests no back-off.
+        limit_per_s: Requests a second that the target accepts from all hosts
+            together; None if it states no limit.
+        unknown_headers: Names of headers without a known meaning.
     """
 
     request_id: bytes
@@ -124,16 +127,18 @@
 
 
 def decode_prompt(headers: http1.Headers) -> PromptHeaders:
-    """Returns what a caller's headers say of its prompt.
+    """Returns the description of the prompt in a caller's headers.
 
-    What is unreadable counts as absent: the target judges it.
+    Unreadable values are treated as absent; the target validates them.
     """
-    first = dict(reversed(headers))
-    prompt, _, answer = first.get(names.TOKEN_COUNTS, b"").partition(b",")
+    first_values = dict(reversed(headers))
+    prompt, _, answer = first_values.get(names.TOKEN_COUNTS, b"").partition(
+        b","
+    )
     counts = parse_whole_number(prompt), parse_whole_number(answer)
     return PromptHeaders(
-        first.get(names.MODEL, b"").decode("latin-1"),
-        _parts(first.get(names.PROMPT_PARTS, b"")),
+        first_values.get(names.MODEL, b"").decode("latin-1"),
+        _parse_parts(first_values.get(names.PROMPT_PARTS, b"")),
         None if None in counts else sum(filter(None, counts)),
     )
 
@@ -144,18 +149,19 @@
     """Returns the headers of an attempt.
 
     Args:
-        headers: The caller's; what only the system may set is left out.
-        plan: What the attempt asks for.
+        headers: The caller's headers; those that only the system may set are
+            dropped.
+        plan: The values that the attempt sends to the target.
     """
-    sent = [pair for pair in headers if _passes(pair[0], headers)]
+    sent = [pair for pair in headers if _is_forwarded(pair[0], headers)]
     target = plan.target
-    deadline_ms = max(_LEAST_DEADLINE_MS, int(plan.seconds_left * 1000))
+    deadline_ms = max(_MIN_DEADLINE_MS, int(plan.seconds_left * 1000))
     sent.append((names.DEADLINE_MS, b"%d" % deadline_ms))
     sent.append((names.EXPECT_INCARNATION, target.name.encode()))
     if plan.tenant:
         sent.append((names.TENANT, plan.tenant.encode()))
     if plan.priority is not None:
-        priority = min(_HIGHEST_PRIORITY, max(0, plan.priority))
+        priority = min(_MAX_PRIORITY_VALUE, max(0, plan.priority))
         sent.append((names.PRIORITY, b"%d" % priority))
     if plan.weights_version is not None:
         version = b"%d" % plan.weights_version
@@ -174,7 +180,7 @@
 
 
 def decode_answer(head: http1_client.AnswerHead) -> AnswerMeaning:
-    """Returns what the head of an answer says."""
+    """Returns the information in the head of an answer."""
     return AnswerMeaning(
         head.get(names.REQUEST_ID),
         bool(head.get(names.NOT_RUN)) or head.status == 421,
@@ -183,7 +189,7 @@
         parse_whole_number(head.get(names.WEIGHTS_VERSION)),
         bool(head.get(b"content-encoding")),
         is_leaving(head),
-        _backoff(head),
+        _parse_backoff(head),
         headers_lib.parse_decimal(
             head.get(names.TARGET_LIMIT).decode("latin-1")
         ),
@@ -196,38 +202,45 @@
 
 
 def is_leaving(head: http1_client.AnswerHead) -> bool:
-    """Returns whether an answer of any kind announces a departure."""
+    """Returns whether an answer announces that its target shuts down.
+
+    Any kind of answer may do so, also a report or an error.
+    """
     return head.get(names.TARGET_LEAVING).strip() not in (b"", b"0")
 
 
 def filter_relayed_headers(head: http1_client.AnswerHead) -> http1.Headers:
-    """Returns a target's headers that pass to the caller, without framing."""
+    """Returns a target's headers for the caller, without framing headers."""
     return [
         pair
         for pair in head.headers
-        if pair[0] not in _HOP_BY_HOP and pair[0] != b"content-length"
+        if pair[0] not in _HOP_BY_HOP_HEADERS and pair[0] != b"content-length"
     ]
 
 
 def parse_event_weights(raw: bytes) -> int | None:
-    """Returns the weights version an event says it changed to, or None."""
+    """Returns the weights version that an event changes to, or None."""
     if not raw.startswith(names.WEIGHTS_EVENT_FIELD):
         return None
     line = raw.partition(b"\n")[0]
     return parse_whole_number(line[len(names.WEIGHTS_EVENT_FIELD) :])
 
 
-def _passes(name: bytes, headers: http1.Headers) -> bool:
+def _is_forwarded(name: bytes, headers: http1.Headers) -> bool:
     if name in names.UNCHANGED:
         return True
-    if name in _HOP_BY_HOP or name in _FRAMING or name in names.SET_BY_SYSTEM:
+    if (
+        name in _HOP_BY_HOP_HEADERS
+        or name in _FRAMING_HEADERS
+        or name in names.SET_BY_SYSTEM
+    ):
         return False
     if name.startswith(names.SET_BY_SYSTEM_PREFIXES):
         return False
-    return not _named_by_connection(name, headers)
+    return not _is_named_by_connection(name, headers)
 
 
-def _named_by_connection(name: bytes, headers: http1.Headers) -> bool:
+def _is_named_by_connection(name: bytes, headers: http1.Headers) -> bool:
     return any(
         name == term.strip().lower()
         for each, value in headers
@@ -236,7 +249,7 @@
     )
 
 
-def _parts(text: bytes) -> tuple[PromptPart, ...]:
+def _parse_parts(text: bytes) -> tuple[PromptPart, ...]:
     parts = []
     for term in text.split(b","):
         digest, _, count = term.strip().partition(b":")
@@ -247,15 +260,15 @@
 
 
 def parse_whole_number(text: bytes) -> int | None:
-    """Returns a number written in digits; None for anything else."""
+    """Returns a number in decimal digits; None for anything else."""
     text = text.strip()
-    if len(text) > _MOST_DIGITS or not text.isdigit():
+    if len(text) > _MAX_DIGITS or not text.isdigit():
         return None
     return int(text)
 
 
-def _backoff(head: http1_client.AnswerHead) -> float:
-    """Returns for how long a target that sheds load asks to be left alone."""
+def _parse_backoff(head: http1_client.AnswerHead) -> float:
+    """Returns the back-off requested by a target that sheds load, seconds."""
     if head.status != http.HTTPStatus.SERVICE_UNAVAILABLE:
         return 0.0
     text = head.get(names.RETRY_AFTER).decode("latin-1")
--- a/hillthread/platform/cache_events.py
+++ b/hillthread/platform/cache_events.py
@@ -1,4 +1,4 @@
-"""Reads what caches of engines and stores of KV cache hold."""
+"""Reads the change events of caches in engines and of KV cache stores."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 __all__ = ["CachePage", "read_events"]
 
-# Far above the events of a few seconds.
+# Well above the events of a few seconds.
 _MAX_ANSWER_BYTES = 4_194_304
-# Answers may take so much longer than the time they are held.
-_MARGIN_S = 0.8
+# Time that an answer may take beyond the time for which it is held.
+_HOLD_MARGIN_S = 0.8
 
 
 class CachePage(NamedTuple):
-    """A page of events.
+    """A page of cache events.
 
     Attributes:
-        epoch: Of the cache's process; changes when it restarts.
-        position: Of the next event.
-        events: In order.
+        epoch: Identifies the cache's process; changes when it restarts.
+        position: Position of the next event.
+        events: The events in order.
         lost: Events before these are missing.
     """
 
@@ -36,10 +36,10 @@
 
 class _Page(msgspec.Struct, rename="camel"):
     boot_epoch: int
-    # Named like a page's, it is the place of the next event.
+    # Position of the next event, despite its name.
     next_page_token: int
     lost: bool = False
-    # Number, sign, salt, digest, tokens kept now, model.
+    # Number, sign, salt, digest, tokens now held, model.
     events: list[tuple[int, str, str, str, int, str]] = []
 
 
@@ -55,14 +55,14 @@
     """Returns the events from a position on.
 
     Args:
-        pool: Connections.
-        address: Of the engine or store.
-        position: Where to begin.
-        wait_s: How long the call is held while there are none.
+        pool: The connections to use.
+        address: Address of the engine or store.
+        position: Position of the first event to read.
+        wait_s: Time for which the call is held while there are no events.
 
     Raises:
-        BusyError: It takes no more calls now.
-        LogError: They cannot be read now.
+        BusyError: The cache accepts no more calls now.
+        LogError: The events cannot be read now.
     """
     request = http1_client.ClientRequest(
         b"GET",
@@ -74,18 +74,18 @@
     )
     try:
         answer = await http1_client.call(
-            pool, address, request, wait_s + _MARGIN_S, _MAX_ANSWER_BYTES
+            pool, address, request, wait_s + _HOLD_MARGIN_S, _MAX_ANSWER_BYTES
         )
         if answer.head.status == 429:
             raise errors.BusyError(
-                "A cache takes no more calls now.",
-                "It holds a bounded number of them; ask it again later.",
+                "A cache accepts no more calls now.",
+                "It holds a bounded number of calls; try again later.",
             )
         if answer.head.status != 200:
-            raise _unreadable(f"status {answer.head.status}")
+            raise _make_read_error(f"status {answer.head.status}")
         page = _decoder.decode(answer.body)
     except (http1_client.CallError, msgspec.DecodeError) as error:
-        raise _unreadable(str(error)) from error
+        raise _make_read_error(str(error)) from error
     return CachePage(
         page.boot_epoch,
         page.next_page_token,
@@ -99,8 +99,8 @@
     )
 
 
-def _unreadable(reason: str) -> errors.LogError:
+def _make_read_error(reason: str) -> errors.LogError:
     return errors.LogError(
         f"Events of a cache cannot be read: {reason}.",
-        "Nothing is lost: prefixes are saved again where it is not known.",
+        "No data is lost: prefixes of unknown state are saved again.",
     )
--- a/hillthread/platform/configuration.py
+++ b/hillthread/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Decodes the operator's configuration and named weights."""
+"""Decodes the operator's configuration and the weights it names."""
 
 from __future__ import annotations
 
@@ -30,66 +30,64 @@
 WEIGHTS_KEY_PREFIX = "version/"
 SERVICE_LABEL = "service"
 
-# The unit of a quota that counts tokens; without one it counts requests.
-_TOKEN_UNIT = "token_stream"
+# Unit of a quota in tokens; a quota without a unit is in requests.
+_TOKEN_QUOTA_UNIT = "token_stream"
 
-# Tenants that are not isolated share cached prefixes: one organisation.
+# Organisation of all tenants that are not isolated; they share cached prefixes.
 _SHARED_ORGANISATION = "shared"
 
-
-# Of a megabit a second.
-_BYTES_PER_S = 1_000_000 / 8
+_BYTES_PER_MEGABIT = 1_000_000 / 8
 
 _logger = logging.getLogger("hillthread.site")
 
 
 class NamedWeights(NamedTuple):
-    """Newly named weights of a model."""
+    """The version of a model's weights that engines shall load."""
 
     model: str
     version: int
 
 
-class _Wire(msgspec.Struct, rename="camel"):
-    """The base of what the platform writes: unknown fields are passed over."""
+class _WireStruct(msgspec.Struct, rename="camel"):
+    """Base of the platform's records; unknown fields are ignored."""
 
 
-class _Model(_Wire):
+class _Model(_WireStruct):
     name: str
 
 
-class _Engine(_Wire):
+class _Engine(_WireStruct):
     slots: int = 0
     kv_capacity_tokens: int = 0
     kv_token_bytes: float = 0.0
     models: list[_Model] = []
 
 
-class _Service(_Wire):
+class _Service(_WireStruct):
     name: str
     health_path: str = ""
     max_connections: int = 0
     engine: _Engine | None = None
-    # A service with this address is a store of kept KV cache.
+    # A service with this address is a KV cache store.
     kv_store_addr: str = ""
     zone: str = ""
     kv_capacity_tokens: int = 0
     link_mbps: float = 0.0
 
 
-class _Split(_Wire):
+class _TrafficSplit(_WireStruct):
     service: str
     weight: float
 
 
-class _Route(_Wire):
+class _Route(_WireStruct):
     name: str
     host: str
     path_prefix: str
-    # Whether requests may be repeated, and whether answers are streams.
+    # Determines whether requests may be repeated and answers are streams.
     type: str
     timeout_ms: float
-    # Time to the first byte within which an answer has its full worth.
+    # Time to the first byte up to which an answer has its full value.
     target_latency_ms: float = 0.0
     priority: int = 0
     max_attempts: int = 1
@@ -97,30 +95,30 @@
     resumable: bool = False
     gap_aim_ms: float = 0.0
     service: str = ""
-    traffic_split: list[_Split] = []
+    traffic_split: list[_TrafficSplit] = []
 
 
-class _Limits(_Wire):
+class _Limits(_WireStruct):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
     header_timeout_ms: float = 3_000.0
     idle_timeout_ms: float = 15_000.0
 
 
-class _Tenant(_Wire):
+class _Tenant(_WireStruct):
     name: str
     api_keys: list[str] = []
     priority: int | None = None
     isolated: bool = False
-    # Of any type: a quota that cannot be read must not keep the rest from
-    # being used.
+    # Quota fields of any type, so that an unreadable quota does not make the
+    # whole configuration unreadable.
     rate_per_s: Any = 0
     burst: Any = 0
     unit: Any = ""
     plain_tokens: Any = 0
 
 
-class _Configuration(_Wire):
+class _Configuration(_WireStruct):
     version: int
     routes: list[_Route]
     services: list[_Service]
@@ -128,13 +126,13 @@
     tenants: list[_Tenant] | None = None
 
 
-class _Weights(_Wire):
+class _Weights(_WireStruct):
     model: str
     version: int
 
 
-class _Versioned(_Wire):
-    """What all records of the operator have."""
+class _Versioned(_WireStruct):
+    """The field that all records of the operator have."""
 
     version: int
 
@@ -156,9 +154,9 @@
         _configuration_decoder, payload, "configuration"
     )
     values: list[objects.ConfigurationObject] = []
-    values += [_route(each) for each in wire.routes]
-    values += [_pool_or_store(each) for each in wire.services]
-    values += [_tenant(each) for each in wire.tenants or []]
+    values += [_make_route(each) for each in wire.routes]
+    values += [_make_pool_or_store(each) for each in wire.services]
+    values += [_make_tenant(each) for each in wire.tenants or []]
     return site_configuration.SiteConfiguration(
         wire.version,
         {objects.object_key(value): value for value in values},
@@ -185,7 +183,7 @@
 def is_older(
     record: topic_copy.TopicRecord, known: topic_copy.TopicRecord
 ) -> bool:
-    """Returns whether a record precedes the one known under the same key."""
+    """Returns whether a record is older than the known one of the same key."""
     try:
         version = _version_decoder.decode(record.value).version
         known_version = _version_decoder.decode(known.value).version
@@ -199,7 +197,7 @@
     return f"{SERVICE_LABEL}={service}"
 
 
-def _route(wire: _Route) -> objects.Route:
+def _make_route(wire: _Route) -> objects.Route:
     streaming = wire.type == "streaming"
     return objects.Route(
         name=wire.name,
@@ -222,14 +220,14 @@
     )
 
 
-def _pool_or_store(wire: _Service) -> objects.Pool | objects.CacheStore:
+def _make_pool_or_store(wire: _Service) -> objects.Pool | objects.CacheStore:
     if wire.kv_store_addr:
         return objects.CacheStore(
             name=wire.name,
             address=wire.kv_store_addr,
             data_centre=wire.zone,
             cache_tokens=wire.kv_capacity_tokens,
-            link_bytes_per_s=wire.link_mbps * _BYTES_PER_S,
+            link_bytes_per_s=wire.link_mbps * _BYTES_PER_MEGABIT,
         )
     engine = wire.engine or _Engine()
     return objects.Pool(
@@ -245,27 +243,27 @@
     )
 
 
-def _tenant(wire: _Tenant) -> objects.Tenant:
+def _make_tenant(wire: _Tenant) -> objects.Tenant:
     return objects.Tenant(
         name=wire.name,
         organisation=wire.name if wire.isolated else _SHARED_ORGANISATION,
         key_digests=[
             hashlib.sha256(key.encode()).hexdigest() for key in wire.api_keys
         ],
-        quota=_quota(wire),
+        quota=_make_quota(wire),
         priority=wire.priority,
     )
 
 
-def _quota(wire: _Tenant) -> objects.Quota | None:
-    """Returns a tenant's quota; None for no limit, and for an unreadable one.
+def _make_quota(wire: _Tenant) -> objects.Quota | None:
+    """Returns a tenant's quota; None without a limit or if it is unreadable.
 
-    A rate of 0 is no limit.
+    A rate of 0 sets no limit.
     """
     if not wire.rate_per_s:
         return None
     unit = wire.unit or objects.QuotaUnit.REQUESTS
-    if unit == _TOKEN_UNIT:
+    if unit == _TOKEN_QUOTA_UNIT:
         unit = objects.QuotaUnit.TOKENS
     try:
         return msgspec.convert(
@@ -279,7 +277,7 @@
         )
     except msgspec.ValidationError as error:
         _logger.warning(
-            "quota not readable; it does not limit",
+            "quota unreadable; no limit applies",
             extra={
                 "event": "bad_quota",
                 "tenant": wire.name,
--- a/hillthread/platform/journal.py
+++ b/hillthread/platform/journal.py
@@ -1,4 +1,4 @@
-"""Decodes the journal that the platform's bench writes of each run."""
+"""Decodes the journal in which the platform's benchmark records its runs."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class Price(NamedTuple):
-    """What was taken off a day's worth for one thing.
+    """A deduction from a day's worth for the use of one resource.
 
     Attributes:
-        name: What for.
-        amount: How much of it was used.
-        cost: Share of the worth that could be earned.
+        name: Name of the resource.
+        amount: Amount used.
+        cost: The deduction, as a share of the highest possible worth.
     """
 
     name: str
@@ -30,17 +30,17 @@
 
 
 class DayResult(NamedTuple):
-    """One day of load and faults, as it was judged.
+    """The result of one simulated day of load and faults.
 
     Attributes:
-        name: Of the day.
-        worth: Share of what could be earned, less prices.
+        name: Name of the day.
+        worth: Score as a share of the highest possible one, less prices.
         served: The same before prices.
-        refused: Share of requests that ended refused.
-        failed: Share that failed.
-        hosts: Hosts that ran.
-        broken: Times that each rule was broken, by rule.
-        prices: All prices.
+        refused: Share of requests that were refused.
+        failed: Share of requests that failed.
+        hosts: Number of hosts that ran.
+        broken: Number of violations by rule; rules that held are left out.
+        prices: All deductions.
     """
 
     name: str
@@ -54,16 +54,16 @@
 
 
 class JournalEntry(NamedTuple):
-    """One run of the bench.
+    """One run of the benchmark.
 
     Attributes:
-        entry_id: Its id.
-        began_at: When it began, as text in order of time.
-        command: What was run, such as `score`.
-        site: The deployment played.
-        reason: Why, in the words of who ran it.
-        lines: Lines of source measured.
-        days: All days played; days that were given up are left out.
+        entry_id: Id of the run.
+        began_at: Start time as text that sorts in order of time.
+        command: The command that was run, such as `score`.
+        site: The simulated deployment.
+        reason: The reason given by whoever started the run.
+        lines: Number of source lines of the tested program.
+        days: Results of all days; aborted days are left out.
     """
 
     entry_id: str
@@ -77,15 +77,15 @@
 
 class _Day(msgspec.Struct):
     name: str
-    # The letter stands for worth after prices.
+    # Worth after prices.
     worth: float | None = msgspec.field(name="G", default=None)
     served: float | None = None
     refused: float | None = None
     failed: float | None = None
     used: int | None = None
-    # Rules broken, with counts.
+    # Number of violations by rule.
     rules: dict[str, Any] | None = None
-    # Name, amount, cost; a day that was given up has none of the latter.
+    # Name, amount, cost; an aborted day has neither amount nor cost.
     prices: list[tuple[str, float | None, float | None]] | None = None
 
 
@@ -103,10 +103,10 @@
 
 
 def decode_entry(payload: bytes) -> JournalEntry:
-    """Returns the entry in a journal's file.
+    """Returns the entry in a file of the journal.
 
     Raises:
-        ConfigurationError: It is unreadable.
+        ConfigurationError: The entry is unreadable.
     """
     wire = payloads.decode_payload(_decoder, payload, "journal")
     return JournalEntry(
@@ -116,7 +116,9 @@
         wire.site or "",
         wire.why or "",
         wire.lines or 0,
-        tuple(_day(day) for day in wire.days or [] if day.worth is not None),
+        tuple(
+            _decode_day(day) for day in wire.days or [] if day.worth is not None
+        ),
     )
 
 
@@ -137,7 +139,7 @@
     return sorted(entries, key=lambda entry: (entry.began_at, entry.entry_id))
 
 
-def _day(wire: _Day) -> DayResult:
+def _decode_day(wire: _Day) -> DayResult:
     broken = {
         rule: count
         for rule, count in (wire.rules or {}).items()
--- a/hillthread/platform/log_pages.py
+++ b/hillthread/platform/log_pages.py
@@ -1,4 +1,4 @@
-"""Pages and records of the platform's log, and how they are decoded."""
+"""Decodes pages and records of the platform's log."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     "parse_page",
 ]
 
-# Before each record.
+# Length of a record in bytes, before each record.
 LENGTH_PREFIX = struct.Struct(">I")
-# Before the records of a page: the end, and the first offset kept.
-_POSITIONS = struct.Struct(">QQ")
+# End offset and oldest kept offset, before the records of a page.
+_PAGE_HEADER = struct.Struct(">QQ")
 
 
 class LogRecord(NamedTuple):
     """One record of a topic.
 
     Attributes:
-        position: Its place in the topic.
+        position: Its position in the topic.
         payload: Its bytes.
     """
 
@@ -38,11 +38,11 @@
 
 
 class LogPage(NamedTuple):
-    """A part of a topic.
+    """Consecutive records of a topic.
 
     Attributes:
-        end: Past the newest record.
-        records: In order, without a gap.
+        end: Position after the newest record of the topic.
+        records: The records in order, without a gap.
     """
 
     end: position_lib.Position
@@ -53,8 +53,8 @@
     """The newest record of each key, or of some of them.
 
     Attributes:
-        records: In the order of their keys.
-        end: Past the newest record when the page was made.
+        records: The records in the order of their keys.
+        end: Position after the newest record when the page was made.
     """
 
     records: list[topic_copy.TopicRecord]
@@ -65,18 +65,18 @@
     """Returns the records in an answer to a read.
 
     Args:
-        raw: The answer.
-        start: Of the first record wanted.
+        raw: The answer's body.
+        start: Position of the first requested record.
 
     Raises:
-        LogError: The answer is cut short.
+        LogError: The answer is truncated.
     """
     try:
-        end, _ = _POSITIONS.unpack_from(raw, 0)
-        payloads = list(_split(raw, _POSITIONS.size))
+        end, _ = _PAGE_HEADER.unpack_from(raw, 0)
+        payloads = list(_split_records(raw, _PAGE_HEADER.size))
     except struct.error as error:
         raise errors.LogError(
-            f"The store's answer is cut short: {error}.",
+            f"The store's answer is truncated: {error}.",
             "Check whether the platform was upgraded.",
         ) from error
     records = [
@@ -86,13 +86,13 @@
     return LogPage(start._replace(offset=end), records)
 
 
-def _split(raw: bytes, position: int) -> Iterator[bytes]:
+def _split_records(raw: bytes, position: int) -> Iterator[bytes]:
     while position < len(raw):
         (length,) = LENGTH_PREFIX.unpack_from(raw, position)
         position += LENGTH_PREFIX.size
         payload = raw[position : position + length]
         if len(payload) < length:
-            raise struct.error("a record ends early")
+            raise struct.error("a record is incomplete")
         yield payload
         position += length
 
@@ -101,14 +101,14 @@
     """Returns the keyed record in a record of a keyed topic.
 
     Raises:
-        LogError: It is none.
+        LogError: The record has no key.
     """
     payload = record.payload
     size = payload[0] if payload else 0
     if not payload or len(payload) < 1 + size:
         raise errors.LogError(
             f"Record {record.position.offset} of a keyed topic has no key.",
-            "Check what wrote it; it is passed over.",
+            "Check which program wrote it; the record is skipped.",
         )
     key = payload[1 : 1 + size].decode("utf-8", "replace")
     return topic_copy.TopicRecord(key, payload[1 + size :], record.position)
--- a/hillthread/platform/names.py
+++ b/hillthread/platform/names.py
@@ -1,4 +1,4 @@
-"""Headers and calls of the platform, by what they mean."""
+"""Names of the platform's headers and settings, by their meaning."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 LAST_EVENT_ID = b"last-event-id"
 RETRY_AFTER = b"retry-after"
 
-# Rises by one whenever the store is restored from an older copy.
+# Increases by one whenever the store is restored from an older copy.
 STORE_ERA = b"store-era"
 RECEIPT = b"x-response-stamp"
 NOT_RUN = b"x-not-run"
@@ -50,7 +50,7 @@
 TARGET_LEAVING = b"server-leaving"
 TARGET_LIMIT = b"server-limit"
 WEIGHTS_VERSION = b"x-weight-versions"
-# An event at which the version changes begins with this field.
+# First field of an event from which on another weights version is used.
 WEIGHTS_EVENT_FIELD = b"x-weight-versions:"
 
 EXPECT_INCARNATION = b"x-expect-instance"
@@ -62,10 +62,10 @@
 FETCH_CACHE_FROM = b"x-kv-fetch"
 SAVE_CACHE_TO = b"x-kv-save"
 
-# Reach targets exactly as the caller sent them, whatever Connection names.
+# Forwarded to targets unchanged, also if the Connection header lists them.
 UNCHANGED = frozenset([REQUEST_ID, MODEL, TOKEN_COUNTS, PROMPT_PARTS])
 
-# Only the system sets these towards targets; a caller's own are dropped.
+# Set by the system in requests to targets; those of callers are dropped.
 SET_BY_SYSTEM = frozenset(
     [
         b"authorization",
--- a/hillthread/platform/orders.py
+++ b/hillthread/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines and reports of theirs."""
+"""Sends orders to engines and reads their reports."""
 
 from __future__ import annotations
 
@@ -16,14 +16,15 @@
 __all__ = ["OrderAnswer", "WeightsOrder", "read_report", "send_order"]
 
 _REPORT_TIMEOUT_S = 0.8
-# Engines answer orders within some ms or not at all; their report then tells.
+# Engines answer orders within a few ms or not at all; their report then shows
+# whether they accepted the order.
 _ORDER_TIMEOUT_S = 0.5
 # A report is a few hundred bytes.
 _MAX_ANSWER_BYTES = 262_144
 
 
 class OrderAnswer(enum.StrEnum):
-    """What became of an order."""
+    """The outcome of an order."""
 
     ACCEPTED = "taken"
     ALREADY_HOLDS = "already_holds"
@@ -36,16 +37,16 @@
 
 
 class WeightsOrder(NamedTuple):
-    """Has an engine load weights.
+    """An order to an engine to load weights.
 
     Attributes:
-        model: Whose weights.
-        version: The weights to load.
-        strategy: What becomes of running requests.
-        holder: Who holds the lease on orders.
+        model: The model whose weights to load.
+        version: The version to load.
+        strategy: How the engine treats running requests.
+        holder: The holder of the lease on orders.
         fencing: The lease's fencing number.
-        orders_taken: Orders the engine must have taken so far; another count
-            means that an earlier order arrived after all.
+        orders_taken: Number of orders that the engine must have accepted so
+            far; another count means that an earlier order arrived after all.
     """
 
     model: str
@@ -66,7 +67,7 @@
     expected_revision: int
 
 
-_ANSWERS = {
+_ANSWERS_BY_STATUS = {
     200: OrderAnswer.ALREADY_HOLDS,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.CONFLICT,
@@ -80,7 +81,7 @@
     target: objects.Target,
     order: WeightsOrder,
 ) -> OrderAnswer:
-    """Gives an order and returns what became of it."""
+    """Sends an order and returns its outcome."""
     body = msgspec.json.encode(
         _Order(
             "version",
@@ -92,26 +93,26 @@
             order.orders_taken,
         )
     )
-    headers = _headers(target)
+    headers = _make_headers(target)
     headers.append((b"content-type", b"application/json"))
     request = http1_client.ClientRequest(b"POST", b"/api/order", headers, body)
     try:
         answer = await _call(pool, target, request, _ORDER_TIMEOUT_S)
     except http1_client.CallError as error:
         return OrderAnswer.UNKNOWN if error.sent else OrderAnswer.UNSENT
-    return _ANSWERS.get(answer.head.status, OrderAnswer.REFUSED)
+    return _ANSWERS_BY_STATUS.get(answer.head.status, OrderAnswer.REFUSED)
 
 
 async def read_report(
     pool: http1_client.ConnectionPool, target: objects.Target
 ) -> targets.EngineReport | None:
-    """Returns what an engine reports; None when it does not answer.
+    """Returns an engine's report; None if it does not answer.
 
     Raises:
         ConfigurationError: The report is unreadable.
     """
     request = http1_client.ClientRequest(
-        b"GET", b"/api/report", _headers(target)
+        b"GET", b"/api/report", _make_headers(target)
     )
     try:
         answer = await _call(pool, target, request, _REPORT_TIMEOUT_S)
@@ -134,8 +135,8 @@
     )
 
 
-def _headers(target: objects.Target) -> list[tuple[bytes, bytes]]:
-    """Returns the headers that reach one incarnation of a target only."""
+def _make_headers(target: objects.Target) -> list[tuple[bytes, bytes]]:
+    """Returns headers that only the given incarnation of a target accepts."""
     return [
         (b"host", target.address.encode()),
         (names.EXPECT_INCARNATION, target.name.encode()),
--- a/hillthread/platform/store.py
+++ b/hillthread/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store: a log of topics, some of them keyed."""
+"""Client of the platform's store, a log of topics; some topics are keyed."""
 
 from __future__ import annotations
 
@@ -26,24 +26,25 @@
     "TruncatedError",
 ]
 
-# A connection that does not come up by then is tried anew.
+# Connecting is retried after this time.
 _CONNECT_TIMEOUT_S = 0.5
-# The store answers in 4 ms; slow days are 60 times slower.
+# The store answers in 4 ms, and up to 60 times slower when it is overloaded.
 _CALL_TIMEOUT_S = 1.0
-# A read that is lost by mistake costs one call more; one that is held on a
-# silent connection hides changes.
-_PROBES = 1
-# Far above a page of the store, which is 1 MB.
+# Unanswered keepalive probes after which a connection counts as lost. A wrong
+# guess costs one more call; a read held on a dead connection hides changes.
+_KEEPALIVE_PROBE_COUNT = 1
+# Well above a page of the store, which is 1 MB.
 _MAX_ANSWER_BYTES = 16_777_216
-# Keyed topics have this one only, and the others here use no more.
+# The only partition of keyed topics, and the only one that the other topics
+# use here.
 _PARTITION = 0
 
 
 class TruncatedError(errors.LogError):
-    """The wanted records are no longer kept.
+    """The requested records are no longer kept.
 
     Attributes:
-        first: Offset of the oldest record kept.
+        first: Offset of the oldest kept record.
     """
 
     code = "log_truncated"
@@ -57,15 +58,15 @@
 
 
 class ChangedError(errors.ConflictError):
-    """The topic does not end where a conditional append expected.
+    """The topic does not end where a conditional append expects it to.
 
     Attributes:
-        end: Where it ends.
+        end: Offset at which it ends.
     """
 
     def __init__(self, end: int):
         super().__init__(
-            f"The topic ends at {end}.", "Read up to there and decide anew."
+            f"The topic ends at {end}.", "Read up to there, then try again."
         )
         self.end = end
 
@@ -73,7 +74,7 @@
 class RestoredError(errors.LogError):
     """The store was restored from an older copy since the last answer.
 
-    Offsets that were read before mean other records now.
+    Offsets from before the restoration now refer to other records.
     """
 
     code = "log_restored"
@@ -86,64 +87,67 @@
 
 
 class StaleAnswerError(errors.LogError):
-    """An answer came late, from before a restoration that is known."""
+    """A late answer is from before a restoration that is already known."""
 
     code = "log_answer_stale"
 
     def __init__(self):
         super().__init__(
-            "The answer is of the store before it was restored.",
-            "The call is tried again.",
+            "The answer is from before the store was restored.",
+            "The call is retried.",
         )
 
 
 class LostReadError(errors.LogError):
     """A read was sent and not answered.
 
-    The connection may have died or fallen silent while the store is well.
+    The connection may be broken or silent although the store is available.
     """
 
     code = "log_read_lost"
 
 
-class _Item(msgspec.Struct):
+class _NewestItem(msgspec.Struct):
     key: str
     value: str = ""
     offset: int = -1
 
 
-class _Newest(msgspec.Struct):
-    items: list[_Item]
+class _NewestPage(msgspec.Struct):
+    items: list[_NewestItem]
     end: int
     truncated: bool = False
 
 
-class _Gone(msgspec.Struct):
+class _TruncatedAnswer(msgspec.Struct):
     first: int = 0
 
 
-class _Appended(msgspec.Struct):
+class _AppendAnswer(msgspec.Struct):
     offset: int = -1
     end: int = -1
 
 
 class StoreClient:
-    """Calls the store; every call either is answered or raises.
+    """A client of the store; every call either returns an answer or raises.
 
     Attributes:
-        address: `IP:port`.
-        pool: Connections; one whose answer was lost is never used again.
-        calls: Calls made so far.
-        era: Of the store, from its answers; None before the first one.
-        restored: Called with the former and the new era when it has risen.
+        address: Address of the store, as `IP:port`.
+        pool: The connections; one whose answer was lost is never used again.
+        calls: Number of calls made so far.
+        era: Number of the store's latest known restoration; None before the
+            first answer.
+        on_restored: Called with the former and the new era when it increases.
     """
 
     def __init__(self, address: str):
         self.address = address
-        self.pool = http1_client.ConnectionPool(_CONNECT_TIMEOUT_S, _PROBES)
+        self.pool = http1_client.ConnectionPool(
+            _CONNECT_TIMEOUT_S, _KEEPALIVE_PROBE_COUNT
+        )
         self.calls = 0
         self.era: int | None = None
-        self.on_restored: Callable[[int, int], None] = _ignore
+        self.on_restored: Callable[[int, int], None] = _ignore_restoration
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -152,8 +156,8 @@
     async def read_newest(self, topic: str) -> log_pages.KeyedPage:
         """Returns the newest record of every key of a keyed topic.
 
-        Pages are not a snapshot: records from the first page's end on are to
-        be read as well.
+        The pages are not a snapshot: the records from the end of the first page
+        on have to be read as well.
 
         Raises:
             RestoredError: The store was restored while pages were read.
@@ -167,7 +171,9 @@
             query = {"topic": topic, "part": _PARTITION}
             if after is not None:
                 query["after"] = after
-            page = _decode(await self._get("log-newest", query, 0.0), _Newest)
+            page = _decode_answer(
+                await self._get("log-newest", query, 0.0), _NewestPage
+            )
             era = self.current_era if era is None else era
             if era != self.current_era:
                 raise RestoredError
@@ -175,7 +181,7 @@
             records += [
                 topic_copy.TopicRecord(
                     item.key,
-                    _unpack_value(item.value),
+                    _decode_value(item.value),
                     position_lib.Position(era, item.offset),
                 )
                 for item in page.items
@@ -192,12 +198,13 @@
         """Returns the records of a topic from `start` on.
 
         Args:
-            topic: Its name.
-            start: Of the first wanted record.
-            wait_s: How long the store holds the call when there is none.
+            topic: Name of the topic.
+            start: Position of the first record to read.
+            wait_s: Time for which the store holds the call while there is no
+                such record.
 
         Raises:
-            RestoredError: The store's era is another one than that of `start`.
+            RestoredError: The store's era differs from that of `start`.
             TruncatedError: Records from `start` on are no longer kept.
             LostReadError: The read was sent and not answered.
             LogError: The store cannot be read.
@@ -222,12 +229,12 @@
             The record's position.
 
         Raises:
-            RestoredError: The store's era is another one than that of
-                `expected_end`; the record may have been appended, and names
-                an era that is over.
+            RestoredError: The store's era differs from that of `expected_end`;
+                the record may have been appended, and names a past era.
             ChangedError: The topic ends elsewhere; nothing was appended.
-            UnknownOutcomeError: It may have been appended, or may be later.
-            LogError: It was not appended.
+            UnknownOutcomeError: The record may have been appended, or may
+                still be.
+            LogError: The record was not appended.
         """
         self._check_position(expected_end)
         query = {
@@ -240,19 +247,21 @@
         self._check_position(expected_end)
         match answer.head.status:
             case 200:
-                offset = _decode(answer.body, _Appended).offset
+                offset = _decode_answer(answer.body, _AppendAnswer).offset
                 return expected_end._replace(offset=offset)
             case 412:
-                raise ChangedError(_decode(answer.body, _Appended).end)
+                raise ChangedError(
+                    _decode_answer(answer.body, _AppendAnswer).end
+                )
             case status:
-                raise _refused(status)
+                raise _make_status_error(status)
 
     async def put(self, topic: str, key: str, value: bytes) -> None:
         """Writes a value under a key of a keyed topic; idempotent.
 
         Raises:
-            LogError: It was not written.
-            UnknownOutcomeError: It may have been written.
+            LogError: The value was not written.
+            UnknownOutcomeError: The value may have been written.
         """
         query = {"topic": topic, "part": _PARTITION}
         name = key.encode()
@@ -260,7 +269,7 @@
         body = log_pages.LENGTH_PREFIX.pack(len(payload)) + payload
         answer = await self._call(b"POST", "log-append", query, body, 0.0)
         if answer.head.status != 200:
-            raise _refused(answer.head.status)
+            raise _make_status_error(answer.head.status)
 
     async def _get(self, call: str, query: dict, wait_s: float) -> bytes:
         answer = await self._call(b"GET", call, query, b"", wait_s)
@@ -268,9 +277,11 @@
             case 200:
                 return answer.body
             case 410:
-                raise TruncatedError(_decode(answer.body, _Gone).first)
+                raise TruncatedError(
+                    _decode_answer(answer.body, _TruncatedAnswer).first
+                )
             case status:
-                raise _refused(status)
+                raise _make_status_error(status)
 
     async def _call(
         self, method: bytes, call: str, query: dict, body: bytes, wait_s: float
@@ -294,40 +305,40 @@
             if error.sent and method == b"POST":
                 raise errors.UnknownOutcomeError(
                     f"The store's answer was lost: {error.reason}.",
-                    "Read the topic to find out whether it was done.",
+                    "Read the topic to find out whether it was written.",
                 ) from error
             kind = LostReadError if error.sent else errors.LogError
             raise kind(
                 f"The store cannot be reached: {error.reason}.",
-                "Check the platform; what is known stays in force.",
+                "Check the platform; the last known state stays in use.",
             ) from error
         self._check_era(answer.head)
         return answer
 
     def _check_position(self, position: position_lib.Position) -> None:
-        """Raises a RestoredError for a position of another era."""
+        """Raises a RestoredError if a position is of another era."""
         if position.era != self.current_era:
             raise RestoredError
 
     @property
     def current_era(self) -> int:
-        """The store's era; 0 while it is not known."""
+        """The store's era; 0 while it is unknown."""
         return self.era or 0
 
     def apply_era(self, era: int) -> None:
-        """Applies the era from an answer of the store or a page of a peer."""
-        before = self.era
-        if before is not None and era <= before:
+        """Applies the era in an answer of the store or a page of a peer."""
+        former = self.era
+        if former is not None and era <= former:
             return
         self.era = era
-        if before is not None:
-            self.on_restored(before, era)
+        if former is not None:
+            self.on_restored(former, era)
 
     def _check_era(self, head: http1_client.AnswerHead) -> None:
-        """Applies the era that an answer names.
+        """Applies the era in an answer.
 
         Raises:
-            StaleAnswerError: It is older than the one known.
+            StaleAnswerError: It is older than the known era.
         """
         era = attempts.parse_whole_number(head.get(names.STORE_ERA))
         if era is None:
@@ -337,19 +348,19 @@
         self.apply_era(era)
 
 
-def _ignore(before: int, era: int) -> None:
-    """Stands for nobody who wants to know that the store was restored."""
-    del before, era
+def _ignore_restoration(former: int, era: int) -> None:
+    """Does nothing; the default of `StoreClient.on_restored`."""
+    del former, era
 
 
-def _refused(status: int) -> errors.LogError:
+def _make_status_error(status: int) -> errors.LogError:
     return errors.LogError(
         f"The store answered with status {status}.",
-        "Check the platform; the call is tried again.",
+        "Check the platform; the call is retried.",
     )
 
 
-def _decode(raw: bytes, kind: type):
+def _decode_answer(raw: bytes, kind: type):
     try:
         return msgspec.json.decode(raw, type=kind)
     except msgspec.DecodeError as error:
@@ -359,7 +370,7 @@
         ) from error
 
 
-def _unpack_value(text: str) -> bytes:
+def _decode_value(text: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
     except ValueError as error:
--- a/hillthread/platform/targets.py
+++ b/hillthread/platform/targets.py
@@ -1,4 +1,4 @@
-"""Decodes what targets say of themselves: list entries and reports."""
+"""Decodes the entries of targets in the target list and their reports."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 TARGET_TOPIC = "keyed.servers"
 DATA_CENTRE_LABEL = "data_centre"
 RELEASE_LABEL = "release"
-_HIGHEST_PORT = 65_535
+_MAX_PORT = 65_535
 
 
 class EngineReport(NamedTuple):
-    """What an engine said of itself, some hundred ms ago.
+    """The state that an engine reported, some hundred ms old.
 
     Attributes:
-        weights: Version of the weights held, by model.
-        busy: An order is being carried out.
-        orders: Orders taken since its start.
-        waiting: Requests that wait.
-        running: Requests that run.
-        used_tokens: Memory that cannot be freed.
-        total_tokens: All its memory for KV cache.
-        born_ms: Unix milliseconds of its start; 0 when it does not tell.
-        is_leaving: It is about to end and wants no new work.
+        weights: Version of the loaded weights, by model.
+        busy: The engine is carrying out an order.
+        orders: Number of orders accepted since its start.
+        waiting: Number of queued requests.
+        running: Number of running requests.
+        used_tokens: KV cache memory that cannot be freed, in tokens.
+        total_tokens: All KV cache memory, in tokens.
+        born_ms: Start time in Unix milliseconds; 0 if not reported.
+        is_leaving: The engine is about to shut down and accepts no new work.
     """
 
     weights: dict[str, int]
@@ -56,24 +56,24 @@
     is_leaving: bool = False
 
 
-class _Wire(msgspec.Struct, rename="camel"):
-    """The base of what targets write: unknown fields are passed over."""
+class _WireStruct(msgspec.Struct, rename="camel"):
+    """Base of the records of targets; unknown fields are ignored."""
 
 
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class _Model(_Wire):
+class _Model(_WireStruct):
     name: str
     version: _Count = 0
 
 
-class _Entry(_Wire):
+class _Entry(_WireStruct):
     service: str
     address: str
     state: Literal["ready", "draining"]
     zone: str
-    # Version of the target's software, not of weights or configuration.
+    # Version of the target's software, not of its weights or configuration.
     version: str
     slots: _Count
     sequence: _Count
@@ -81,10 +81,10 @@
     born: _Count = 0
 
 
-class _Report(_Wire):
+class _Report(_WireStruct):
     models: list[_Model] = []
     busy: bool = False
-    # Counts orders here; in a list entry it counts heartbeats.
+    # Number of orders here; in a list entry it is the number of heartbeats.
     sequence: int = 0
     waiting: int = 0
     running: int = 0
@@ -102,11 +102,11 @@
 
     Args:
         incarnation: The key of the entry.
-        payload: Its bytes.
+        payload: The value of the entry.
 
     Raises:
-        ConfigurationError: The entry is unreadable, or another writer's: a
-            target writes all fields that the pages name, of their types.
+        ConfigurationError: The entry is unreadable, or not from a target: a
+            target writes all documented fields with the documented types.
     """
     wire = payloads.decode_payload(_entry_decoder, payload, "target")
     _check_address(incarnation, wire.address)
@@ -131,9 +131,9 @@
 def is_older(
     record: topic_copy.TopicRecord, known: topic_copy.TopicRecord
 ) -> bool:
-    """Returns whether an entry precedes the one known of the same target.
+    """Returns whether an entry is older than the known one of the same target.
 
-    A target counts its writes anew after each start.
+    A target restarts the count of its writes at each start.
     """
     try:
         entry = _entry_decoder.decode(record.value)
@@ -144,7 +144,7 @@
 
 
 def decode_report(payload: bytes) -> EngineReport:
-    """Returns what an engine reports.
+    """Returns the report of an engine.
 
     Raises:
         ConfigurationError: The report is unreadable.
@@ -163,15 +163,15 @@
 
 
 def _check_address(name: str, address: str) -> None:
-    """Raises a ConfigurationError unless an address can be connected to."""
+    """Raises a ConfigurationError unless the address is `IP:port`."""
     ip, _, port = address.rpartition(":")
     try:
         ipaddress.ip_address(ip)
-        is_port = port.isdecimal() and 0 < int(port) <= _HIGHEST_PORT
+        is_port = port.isdecimal() and 0 < int(port) <= _MAX_PORT
     except ValueError:
         is_port = False
     if not is_port:
         raise errors.ConfigurationError(
-            f"The address {address!r} of target {name!r} is no IP:PORT.",
-            "Check what wrote the entry; it names no target.",
+            f"The address {address!r} of target {name!r} is not IP:PORT.",
+            "Check which program wrote the entry; it is not a target's.",
         )
--- a/hillthread/protocol/headers.py
+++ b/hillthread/protocol/headers.py
@@ -18,7 +18,7 @@
 # No number has more digits: what others write must not take long to read.
 _MAX_DIGITS = 15
 
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     [
         "connection",
         "keep-alive",
@@ -54,7 +54,7 @@
     return {
         name: value
         for name, value in headers.items()
-        if _passes(name, headers.get("connection", ""))
+        if _is_forwarded(name, headers.get("connection", ""))
     }
 
 
@@ -96,8 +96,8 @@
     return max(0.0, date.timestamp() - time.time())
 
 
-def _passes(name: str, connection: str) -> bool:
-    if name in _HOP_BY_HOP or name in _OWN:
+def _is_forwarded(name: str, connection: str) -> bool:
+    if name in _HOP_BY_HOP_HEADERS or name in _OWN:
         return False
     if name.startswith(_OWN_PREFIXES):
         return False
@@ -106,6 +106,10 @@
 
 
 def _answers(name: str) -> bool:
-    if name in _HOP_BY_HOP or name in ("x-request-id", "server", "date"):
+    if name in _HOP_BY_HOP_HEADERS or name in (
+        "x-request-id",
+        "server",
+        "date",
+    ):
         return False
     return not name.startswith(_OWN_PREFIXES)
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter."""
+"""Tests of the adapter to the users' platform."""
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -1,4 +1,4 @@
-"""Tests of what the adapter reads: good records, bad ones, any bytes."""
+"""Tests of the adapter's decoders with valid, invalid and random input."""
 
 import email.utils
 import time
@@ -20,7 +20,7 @@
 from hillthread.transport import http1_client
 from tests.coordination.gateway import scene
 
-_json = strategies.recursive(
+_json_values = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers(-5, 5)
@@ -43,7 +43,7 @@
 
 
 class RecordTest(unittest.TestCase):
-    def test_configuration_becomes_objects(self):
+    def test_configuration_is_decoded_into_objects(self):
         raw = {
             "version": 7,
             "routes": [
@@ -94,13 +94,13 @@
         self.assertEqual([p.name for p in table.pools_serving("m")], ["x"])
 
     def decode_quota(self, **fields):
-        """Returns a tenant's quota as decoded from its fields."""
+        """Returns the quota decoded from a tenant with these fields."""
         tenant = {"name": "t", "apiKeys": ["a"], **fields}
         raw = {"version": 1, "routes": [], "services": [], "tenants": [tenant]}
         decoded = configuration.decode_configuration(msgspec.json.encode(raw))
         return decoded.build_routing_table().find_tenant_by_key("a").quota
 
-    def test_quotas(self):
+    def test_quotas_are_decoded(self):
         quota = self.decode_quota(
             ratePerS=605.5, burst=600, unit="token_stream", plainTokens=200
         )
@@ -115,7 +115,7 @@
         self.assertIsNone(self.decode_quota(ratePerS=0, burst=5))
         self.assertIsNone(self.decode_quota(ratePerS=None, burst=None))
 
-    def test_quota_that_cannot_be_read_limits_nobody_and_is_told(self):
+    def test_unreadable_quota_is_logged_and_sets_no_limit(self):
         for fields in (
             {"ratePerS": -1},
             {"ratePerS": 1e300},
@@ -133,7 +133,7 @@
                 self.assertIsNone(self.decode_quota(**fields))
                 self.assertEqual(log.records[0].event, "bad_quota")
 
-    def test_counted_tokens(self):
+    def test_token_counts_are_added_or_ignored(self):
         for text, counted in (
             (b"9190,7", 9_197),
             (b" 0 , 0 ", 0),
@@ -147,17 +147,17 @@
             (b"9" * 15 + b"," + b"9" * 15, 2 * (10**15 - 1)),
         ):
             with self.subTest(text[:20]):
-                told = attempts.decode_prompt([(names.TOKEN_COUNTS, text)])
-                self.assertEqual(told.counted_tokens, counted)
+                prompt = attempts.decode_prompt([(names.TOKEN_COUNTS, text)])
+                self.assertEqual(prompt.counted_tokens, counted)
 
-    def test_parts_of_prompts_that_are_no_numbers(self):
+    def test_prompt_parts_without_a_number_are_skipped(self):
         text = b"aa:\xb2,bb:" + b"9" * 5_000 + b",:3,cc:7"
-        told = attempts.decode_prompt([(names.PROMPT_PARTS, text)])
-        self.assertEqual(told.parts, (attempts.PromptPart("cc", 7),))
+        prompt = attempts.decode_prompt([(names.PROMPT_PARTS, text)])
+        self.assertEqual(prompt.parts, (attempts.PromptPart("cc", 7),))
 
     @_settings
-    @hypothesis.given(strategies.binary(max_size=60) | _json)
-    def test_any_record_is_read_or_refused(self, value):
+    @hypothesis.given(strategies.binary(max_size=60) | _json_values)
+    def test_any_record_is_decoded_or_rejected(self, value):
         raw = value if isinstance(value, bytes) else msgspec.json.encode(value)
         for decode in (
             configuration.decode_configuration,
@@ -175,7 +175,7 @@
         strategies.lists(strategies.binary(max_size=30), max_size=6),
         strategies.integers(0, 200),
     )
-    def test_log_page_is_read_whole_or_refused(self, payloads, cut):
+    def test_log_page_is_decoded_or_rejected(self, payloads, cut):
         raw = (9).to_bytes(8, "big") + (0).to_bytes(8, "big")
         for payload in payloads:
             raw += len(payload).to_bytes(4, "big") + payload
@@ -196,7 +196,7 @@
 
     @_settings
     @hypothesis.given(strategies.binary(max_size=20))
-    def test_keyed_record_is_read_or_refused(self, payload):
+    def test_keyed_record_is_decoded_or_rejected(self, payload):
         record = log_pages.LogRecord(position.Position(0, 5), payload)
         try:
             keyed = log_pages.parse_keyed_record(record)
@@ -212,8 +212,8 @@
         )
         return attempt_plan.AttemptPlan(target, "t", 1.5)._replace(**changes)
 
-    def test_only_the_system_sets_its_headers(self):
-        given = [
+    def test_reserved_headers_of_callers_are_dropped(self):
+        caller_headers = [
             (b"x-hold", b"1"),
             (b"x-kv-fetch", b"10.0.0.9:1"),
             (b"x-expect-other", b"1"),
@@ -228,7 +228,7 @@
             (b"x-pass", b"1"),
         ]
         plan = self.plan(model="m", weights_version=3, organisation="o")
-        sent = dict(attempts.encode_attempt(given, plan))
+        sent = dict(attempts.encode_attempt(caller_headers, plan))
         self.assertEqual(
             sent,
             {
@@ -248,16 +248,18 @@
                 attempts.encode_attempt(
                     [],
                     self.plan(
-                        model="m", weights_version=version, organisation=who
+                        model="m",
+                        weights_version=version,
+                        organisation=owner,
                     ),
                 )
             )[names.CACHE_SALT]
             for version in (1, 2)
-            for who in ("a", "b")
+            for owner in ("a", "b")
         }
         self.assertEqual(len(salts), 4)
 
-    def test_limit_of_a_target_is_a_rate_or_nothing(self):
+    def test_limit_of_a_target_is_a_rate_or_none(self):
         for text, limit in (
             (b"1.5", 1.5),
             (b"0", 0.0),
@@ -277,7 +279,7 @@
                 meaning = attempts.decode_answer(head)
                 self.assertEqual(meaning.limit_per_s, limit)
 
-    def test_backoff_is_asked_for_by_a_503_with_a_finite_time(self):
+    def test_backoff_needs_a_503_with_a_finite_time(self):
         for status, text, backoff_s in (
             (503, b"3", 3.0),
             (503, b" 0.25 ", 0.25),
@@ -299,7 +301,7 @@
                 meaning = attempts.decode_answer(head)
                 self.assertEqual(meaning.backoff_s, backoff_s)
 
-    def test_backoff_until_a_date(self):
+    def test_backoff_is_read_from_a_date(self):
         date = email.utils.formatdate(time.time() + 90.0, usegmt=True)
         head = http1_client.AnswerHead(
             503, [(names.RETRY_AFTER, date.encode())]
@@ -307,7 +309,7 @@
         backoff_s = attempts.decode_answer(head).backoff_s
         self.assertAlmostEqual(backoff_s, 90.0, delta=5.0)
 
-    def test_announced_departure(self):
+    def test_departure_is_read_from_header(self):
         for headers, is_leaving in (
             ([], False),
             ([(names.TARGET_LEAVING, b"1")], True),
@@ -340,12 +342,12 @@
             max_size=5,
         )
     )
-    def test_any_header_value_is_borne(self, headers):
+    def test_any_header_value_is_tolerated(self, headers):
         attempts.decode_prompt(headers)
         meaning = attempts.decode_answer(http1_client.AnswerHead(503, headers))
         self.assertGreaterEqual(meaning.backoff_s, 0.0)
 
-    def test_event_tells_changed_weights(self):
+    def test_changed_weights_are_read_from_event(self):
         raw = b"x-weight-versions: 4\nid: 1\ndata: x\n\n"
         self.assertEqual(attempts.parse_event_weights(raw), 4)
         self.assertIsNone(attempts.parse_event_weights(b"id: 1\ndata: x\n\n"))
--- a/tests/platform/test_journal.py
+++ b/tests/platform/test_journal.py
@@ -1,4 +1,4 @@
-"""Tests of the decoder of the bench's journal."""
+"""Tests of the decoder of the benchmark's journal."""
 
 import contextlib
 import pathlib
@@ -14,7 +14,7 @@
 
 
 def entry(number=1, command="score", days=None, **fields):
-    """Returns an entry as the bench writes it."""
+    """Returns an entry as the benchmark writes it."""
     return {
         "id": f"e{number}",
         "at": [f"2026-01-01T00:0{number}:00Z", "later"],
@@ -42,16 +42,16 @@
 
 
 class JournalTest(unittest.TestCase):
-    def test_entry_is_decoded_into_the_products_words(self):
+    def test_entry_is_decoded_into_named_fields(self):
         raw = entry(days=[day(rules={"LOST": 2, "note": "x"}), day("b", None)])
         found = journal.decode_entry(msgspec.json.encode(raw))
         self.assertEqual((found.entry_id, found.site), ("e1", "site-one"))
-        (only,) = found.days  # the other one was given up
+        (only,) = found.days  # the other one was aborted
         self.assertEqual((only.worth, only.hosts), (0.5, 8))
         self.assertEqual(only.broken, {"LOST": 2})
         self.assertEqual(only.prices[0], journal.Price("loads", 20.0, 0.016))
 
-    def test_entries_come_in_order_of_time_and_bad_ones_are_named(self):
+    def test_entries_are_sorted_by_time_and_errors_name_the_file(self):
         with tempfile.TemporaryDirectory() as name:
             folder = pathlib.Path(name)
             for number in (2, 1):
@@ -64,6 +64,6 @@
                 journal.read_entries(folder)
 
     @hypothesis.given(strategies.binary(max_size=80))
-    def test_any_bytes_are_read_or_refused(self, payload):
+    def test_any_bytes_are_decoded_or_rejected(self, payload):
         with contextlib.suppress(errors.ConfigurationError):
             journal.decode_entry(payload)
