--- a/hillthread/protocol/__init__.py
+++ b/hillthread/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Message shapes, header names and codecs shared by the programs."""
+"""Message formats, header names and codecs shared by the programs."""
--- a/hillthread/protocol/admin_schema.py
+++ b/hillthread/protocol/admin_schema.py
@@ -11,7 +11,7 @@
 __all__ = ["OPENAPI"]
 
 
-def _operation(text: str, *parameters: str, body: bool = False) -> Any:
+def _make_operation(text: str, *parameters: str, body: bool = False) -> Any:
     operation: dict[str, Any] = {
         "summary": text,
         "security": [{"key": []}],
@@ -33,7 +33,7 @@
     return operation
 
 
-def _in_path(*names: str) -> list[dict[str, Any]]:
+def _make_path_parameters(*names: str) -> list[dict[str, Any]]:
     return [
         {
             "name": name,
@@ -54,38 +54,41 @@
         "openapi": "3.1.0",
         "info": {"title": "hillthread admin API", "version": "1"},
         "paths": {
-            "/v1/status": {"get": _operation("Positions of all hosts.")},
+            "/v1/status": {"get": _make_operation("Positions of all hosts.")},
             "/v1/objects": {
-                "get": _operation("Objects in force.", "kind", "selector"),
-                "put": _operation(
+                "get": _make_operation("Current objects.", "kind", "selector"),
+                "put": _make_operation(
                     "Creates or replaces `object`, if it still has "
                     "`expected_version`; `dry_run` only checks.",
                     body=True,
                 ),
             },
             "/v1/objects/{kind}/{name}": {
-                "parameters": _in_path("kind", "name"),
-                "get": _operation("One object with its version."),
-                "delete": _operation(
+                "parameters": _make_path_parameters("kind", "name"),
+                "get": _make_operation("One object with its version."),
+                "delete": _make_operation(
                     "Removes an object.", "expected_version", "dry_run"
                 ),
             },
             "/v1/history": {
-                "get": _operation("Who changed what.", "kind", "name", "limit")
+                "get": _make_operation(
+                    "Changes and their authors.", "kind", "name", "limit"
+                )
             },
             "/v1/outcomes/{record_id}": {
-                "parameters": _in_path("record_id"),
-                "get": _operation("What became of one change."),
+                "parameters": _make_path_parameters("record_id"),
+                "get": _make_operation("Outcome of one change."),
             },
             "/v1/rollback": {
-                "post": _operation(
-                    "Puts an object back to before the change at `offset`.",
+                "post": _make_operation(
+                    "Restores an object to its state before the change at "
+                    "`offset`.",
                     body=True,
                 )
             },
             "/v1/records": {
-                "get": _operation(
-                    "Decision records; tenants see their own.",
+                "get": _make_operation(
+                    "Decision records; tenants see only their own.",
                     "request_id",
                     "tenant",
                     "target",
--- a/hillthread/protocol/documents.py
+++ b/hillthread/protocol/documents.py
@@ -1,4 +1,4 @@
-"""Values as JSON documents: named tuples become objects with their names."""
+"""Converts values to JSON documents; named tuples become objects."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 def as_document(value: Any) -> Any:
-    """Returns `value` made of what JSON has only."""
+    """Returns `value` converted to types that JSON supports.
+
+    Named tuples, structs and dataclasses become objects with their field
+    names.
+    """
     match value:
         case enum.Enum():
             return value.value
--- a/hillthread/protocol/engine.py
+++ b/hillthread/protocol/engine.py
@@ -1,4 +1,4 @@
-"""Names and shapes of the engine protocol, after published conventions.
+"""Names and formats of the engine protocol, after published conventions.
 
 `X-Request-Id`, `cache_salt`, `priority`, `stream_options.include_usage`,
 `continue_final_message` and the metric names are those of widely used engines;
@@ -47,12 +47,12 @@
 
 
 class AnswerUsage(NamedTuple):
-    """The usage an engine told at the end of an answer.
+    """The usage that an engine reports at the end of an answer.
 
     Attributes:
         prompt_tokens: Length of the prompt.
         completion_tokens: Length of the answer.
-        cached_tokens: Prompt tokens found in the cache, or None if untold.
+        cached_tokens: Prompt tokens found in the cache; None if not reported.
     """
 
     prompt_tokens: int
@@ -60,14 +60,14 @@
     cached_tokens: int | None
 
 
-class _Details(msgspec.Struct):
+class _PromptTokensDetails(msgspec.Struct):
     cached_tokens: int | None = None
 
 
 class _Usage(msgspec.Struct):
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: _Details | None = None
+    prompt_tokens_details: _PromptTokensDetails | None = None
 
 
 class _Answer(msgspec.Struct):
@@ -78,7 +78,7 @@
 
 
 def cache_salt(organisation: str, secret: str) -> str:
-    """Returns the salt that keeps an organisation's cache its own."""
+    """Returns the salt that separates an organisation's cache from others."""
     digest = hashlib.blake2b(
         organisation.encode(), digest_size=16, key=secret.encode()[:64]
     )
@@ -99,21 +99,21 @@
 
 
 def parse_epoch(headers: Any) -> warmth.CacheEpoch:
-    """Returns the epoch an engine names in the headers of an answer."""
+    """Returns the cache epoch in the headers of an engine's answer."""
     return warmth.CacheEpoch(
         headers.get(INCARNATION, ""), headers.get(WEIGHTS_VERSION, "")
     )
 
 
 def parse_metrics(text: str, now: float) -> load.LoadReport:
-    """Returns the load told by an engine's metrics page.
+    """Returns the load in an engine's metrics page.
 
     Args:
         text: The page in the Prometheus text format.
-        now: Seconds, when it was read.
+        now: Time at which it was read, seconds.
 
     Raises:
-        ValueError: The page is not in the format.
+        ValueError: The page is not in the Prometheus text format.
     """
     values: dict[str, float] = {}
     cache_tokens = 0
@@ -121,7 +121,7 @@
         for sample in family.samples:
             values[family.name] = values.get(family.name, 0) + sample.value
             if family.name.startswith(METRIC_CACHE_CONFIG):
-                cache_tokens = _cache_tokens(sample.labels)
+                cache_tokens = _parse_cache_tokens(sample.labels)
     computed = values.get(METRIC_PROMPT_TOKENS, 0.0)
     computed -= values.get(METRIC_CACHED_TOKENS, 0.0)
     computed += values.get(METRIC_GENERATED_TOKENS, 0.0)
@@ -134,6 +134,6 @@
     )
 
 
-def _cache_tokens(labels: dict[str, str]) -> int:
+def _parse_cache_tokens(labels: dict[str, str]) -> int:
     blocks = int(labels.get("num_gpu_blocks", 0))
     return blocks * int(labels.get("block_size", 0))
--- a/hillthread/protocol/event_stream.py
+++ b/hillthread/protocol/event_stream.py
@@ -1,4 +1,4 @@
-"""Server-sent events as bytes: framing only, so that they relay unchanged."""
+"""Framing of server-sent events; their bytes are relayed unchanged."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 __all__ = ["Event", "EventSplitter", "encode_event"]
 
-_END = b"\n\n"
+_EVENT_END = b"\n\n"
 
 
 class Event(NamedTuple):
     """One event.
 
     Attributes:
-        raw: All its bytes with the blank line that ends it.
-        index: The number in its `id:` line, or None without one.
-        data: The bytes after `data: `.
+        raw: All its bytes, including the blank line at its end.
+        index: The number in its `id:` line; None without such a line.
+        data: The bytes after `data: `, joined by line breaks.
     """
 
     raw: bytes
@@ -26,35 +26,36 @@
 
 
 class EventSplitter:
-    """Cuts a byte stream into events; holds back an unfinished one.
+    """Splits a byte stream into events and keeps an unfinished one.
 
     Attributes:
-        limit: Bytes an unfinished event may have.
+        limit: Maximum size of an unfinished event in bytes.
     """
 
     def __init__(self, limit: int):
         self.limit = limit
-        self._rest = b""
+        self._unfinished = b""
 
     def feed(self, chunk: bytes) -> list[Event]:
         """Returns the events that `chunk` completes.
 
         Raises:
-            HillthreadError: An event is too large or has a bad index.
+            HillthreadError: An event is too large or its index is not a
+                number.
         """
-        pieces = (self._rest + chunk).split(_END)
-        self._rest = pieces.pop()
-        if len(self._rest) > self.limit:
+        pieces = (self._unfinished + chunk).split(_EVENT_END)
+        self._unfinished = pieces.pop()
+        if len(self._unfinished) > self.limit:
             raise errors.HillthreadError(
                 f"An event is larger than {self.limit} bytes.",
                 "Raise max_event_bytes in the router's settings.",
             )
-        return [_parse(piece) for piece in pieces]
+        return [_parse_event(piece) for piece in pieces]
 
     @property
     def rest(self) -> bytes:
-        """The bytes of an unfinished event."""
-        return self._rest
+        """The bytes of the unfinished event."""
+        return self._unfinished
 
 
 def encode_event(index: int | None, data: bytes) -> bytes:
@@ -64,7 +65,7 @@
     return b"id: %d\ndata: %b\n\n" % (index, data)
 
 
-def _parse(piece: bytes) -> Event:
+def _parse_event(piece: bytes) -> Event:
     index = None
     data = []
     for line in piece.split(b"\n"):
@@ -73,14 +74,14 @@
         if name == b"data":
             data.append(value)
         elif name == b"id":
-            index = _index(value.strip())
-    return Event(piece + _END, index, b"\n".join(data))
+            index = _parse_index(value.strip())
+    return Event(piece + _EVENT_END, index, b"\n".join(data))
 
 
-def _index(digits: bytes) -> int:
+def _parse_index(digits: bytes) -> int:
     if not digits.isdigit():
         raise errors.HillthreadError(
             f"The event index {digits!r} is not a number.",
-            "Check the engine: docs/PROTOCOLS.md asks for numbers.",
+            "Check the engine: docs/PROTOCOLS.md requires numbers.",
         )
     return int(digits)
--- a/hillthread/protocol/explanation.py
+++ b/hillthread/protocol/explanation.py
@@ -1,4 +1,4 @@
-"""A decision record in words."""
+"""Explains a decision record in text."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 __all__ = ["explain"]
 
-_REASONS = {
+_REASON_TEXTS = {
     "warm": "its cache is believed to hold the shared prefix",
     "pending": "an earlier request is computing the shared prefix there",
     "rendezvous": "no warm target was better, and all routers rank it first",
@@ -16,7 +16,7 @@
 
 
 def explain(record: dict[str, Any]) -> str:
-    """Returns the record of one request in words.
+    """Returns a text that explains the record of one request.
 
     Args:
         record: A `RequestRecord` as a JSON document.
@@ -36,26 +36,28 @@
     code = f" with code {record['code']}" if record["code"] else ""
     lines.append(
         f"Outcome: {record['outcome']}{code}, run: {record['run']}, after "
-        f"{_seconds(record['ended_s'])}."
+        f"{_format_seconds(record['ended_s'])}."
     )
     return "\n".join(lines)
 
 
 def _explain_attempt(number: int, attempt: dict[str, Any]) -> list[str]:
     decision = attempt["decision"]
-    reason = _REASONS.get(decision["reason"] or "", "no target was eligible")
+    reason = _REASON_TEXTS.get(
+        decision["reason"] or "", "no target was eligible"
+    )
     lines = [
         f"Attempt {number} ({attempt['attempt_id']}) went to "
         f"{decision['target'] or 'no target'}: {reason}."
     ]
     lines.extend(f"  {_explain_score(each)}" for each in decision["scores"])
-    told = attempt["cached_tokens"]
+    cached_tokens = attempt["cached_tokens"]
     lines.append(
         f"  It was {attempt['state']}; expected {attempt['predicted_cached']} "
         f"tokens cached, the engine told "
-        f"{'nothing' if told is None else told}; first token after "
-        f"{_seconds(attempt['first_token_s'])}, ended after "
-        f"{_seconds(attempt['ended_s'])}."
+        f"{'nothing' if cached_tokens is None else cached_tokens}; first "
+        f"token after {_format_seconds(attempt['first_token_s'])}, ended after "
+        f"{_format_seconds(attempt['ended_s'])}."
     )
     if attempt["incarnation"]:
         lines.append(
@@ -83,5 +85,5 @@
     )
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "no time known" if value is None else f"{value:.3f} s"
--- a/hillthread/protocol/feed.py
+++ b/hillthread/protocol/feed.py
@@ -1,4 +1,4 @@
-"""What hosts of a data centre pass on to each other of the store's topics."""
+"""Messages with which hosts of a data centre relay the store's topics."""
 
 from __future__ import annotations
 
@@ -30,31 +30,32 @@
 ]
 
 FEED_PATH = "/feed"
-# Where operators see, by GET, and clear, by a POST of their digest, requests
-# under which targets ended.
+# Lists, by GET, the requests under which targets crashed, and clears one, by a
+# POST of its digest; for operators.
 QUARANTINE_PATH = "/quarantine"
-# Where operators see how the quotas of organisations stand.
+# Shows the state of the organisations' quotas to operators.
 QUOTAS_PATH = "/quotas"
-# Where operators see the limits that targets have named.
+# Shows the limits that targets have stated to operators.
 LIMITS_PATH = "/limits"
-# Where operators see which targets leave or back off.
+# Shows to operators which targets are leaving or have requested a back-off.
 TARGETS_PATH = "/targets"
-# Fast: 3,001 targets take 741 KB, and 80 KB packed within 6 ms. Hosts of a data
-# centre that start together all ask one of them for that: among 300 hosts it
-# sends 0.34 MB a second over a day in place of 2.6, in 40 MB of memory in place
-# of 86.
-_PACKING = 1
-# No topic unpacks to more: a page that does is none.
-_MOST_BYTES = 32 << 20
+# The fastest level. It compresses 3,001 targets from 741 KB to 80 KB within
+# 6 ms. All hosts of a data centre that start together request them from one
+# host: among 300 hosts it sends 0.34 MB a second over a day instead of 2.6, and
+# uses 40 MB of memory instead of 86.
+_COMPRESSION_LEVEL = 1
+# No topic is larger; the limit bounds the memory that a malformed page takes.
+_MAX_UNPACKED_BYTES = 32 << 20
 
 
 class FeedQuery(NamedTuple):
-    """What a host asks another for.
+    """A request of one host to another for records of a topic.
 
     Attributes:
         topic: Name of the topic.
-        start: Of the first record wanted.
-        wait_s: How long the answer may be held while there is none.
+        start: Position of the first requested record.
+        wait_s: Time for which the answer may be held while there is no such
+            record.
     """
 
     topic: str
@@ -63,13 +64,14 @@
 
 
 class FeedPage(NamedTuple):
-    """The answer.
+    """The answer to a `FeedQuery`.
 
     Attributes:
-        position: Of the next record.
-        whole: The records are the newest of all keys, not the changes.
-        age_s: Age of the answering host's own knowledge when it answered.
-        records: In order.
+        position: Position of the next record.
+        is_snapshot: The records are the newest ones of all keys, rather than
+            the changes from the requested position on.
+        age_s: Age of the answering host's copy when it answered.
+        records: The records in order.
     """
 
     position: position_lib.Position
@@ -79,7 +81,7 @@
 
 
 class _PackedPage(NamedTuple):
-    """A page on the wire."""
+    """A page as transmitted, with compressed records."""
 
     position: position_lib.Position
     is_snapshot: bool
@@ -88,7 +90,7 @@
 
 
 def encode_query(query: FeedQuery) -> bytes:
-    """Returns the request target that asks for a page."""
+    """Returns the request target of the HTTP request for a page."""
     fields = {
         "topic": query.topic,
         "from": query.start.offset,
@@ -99,10 +101,10 @@
 
 
 def parse_query(target: bytes) -> FeedQuery:
-    """Returns what a request target asks for.
+    """Returns the query in a request target.
 
     Raises:
-        PeerError: It is no such question.
+        PeerError: The request target is not a valid query.
     """
     text = target.partition(b"?")[2].decode("latin-1")
     fields = dict(parse.parse_qsl(text))
@@ -116,15 +118,18 @@
         )
     except (KeyError, ValueError) as error:
         raise errors.PeerError(
-            f"The question for a feed is not readable: {error!r}.",
+            f"The feed query is unreadable: {error!r}.",
             "Run the same release on all hosts.",
         ) from error
 
 
 def pack_records(records: Sequence[topic_copy.TopicRecord]) -> bytes:
-    """Returns records as pages hold them; the same for all who ask."""
+    """Returns records in the compressed form of pages.
+
+    The result may be sent to all hosts that request these records.
+    """
     raw = cbor2.dumps([list(record) for record in records])
-    return zlib.compress(raw, _PACKING)
+    return zlib.compress(raw, _COMPRESSION_LEVEL)
 
 
 def encode_page(
@@ -136,10 +141,10 @@
     """Returns a page as CBOR.
 
     Args:
-        position: As in the page.
-        whole: As in the page.
-        age_s: As in the page.
-        packed: Its records.
+        position: As in `FeedPage`.
+        is_snapshot: As in `FeedPage`.
+        age_s: As in `FeedPage`.
+        packed: The records, from `pack_records`.
     """
     return cbor2.dumps([position, is_snapshot, age_s, packed])
 
@@ -148,12 +153,12 @@
     """Returns the page in an answer.
 
     Raises:
-        PeerError: It is none.
+        PeerError: The answer is not a valid page.
     """
     try:
         page = msgspec.convert(cbor2.loads(raw), _PackedPage)
         records = msgspec.convert(
-            cbor2.loads(_unpack(page.packed)), list[topic_copy.TopicRecord]
+            cbor2.loads(_decompress(page.packed)), list[topic_copy.TopicRecord]
         )
         return FeedPage(page.position, page.is_snapshot, page.age_s, records)
     except (
@@ -162,19 +167,19 @@
         zlib.error,
     ) as error:
         raise errors.PeerError(
-            f"The page of a feed is not readable: {error}.",
+            f"The feed page is unreadable: {error}.",
             "Run the same release on all hosts.",
         ) from error
 
 
-def _unpack(packed: bytes) -> bytes:
-    """Returns what was packed.
+def _decompress(packed: bytes) -> bytes:
+    """Returns the decompressed bytes.
 
     Raises:
-        zlib.error: It is cut off, too long, or nothing of the kind.
+        zlib.error: The data is truncated, too long or not compressed.
     """
-    unpacker = zlib.decompressobj()
-    raw = unpacker.decompress(packed, _MOST_BYTES)
-    if not unpacker.eof:
-        raise zlib.error("cut off, or longer than any topic")
+    decompressor = zlib.decompressobj()
+    raw = decompressor.decompress(packed, _MAX_UNPACKED_BYTES)
+    if not decompressor.eof:
+        raise zlib.error("truncated, or longer than any topic")
     return raw
--- a/hillthread/protocol/headers.py
+++ b/hillthread/protocol/headers.py
@@ -1,4 +1,4 @@
-"""Headers that pass between callers and targets, and their values."""
+"""Filters headers between callers and targets and parses their values."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
     "parse_retry_after",
 ]
 
-# No number has more digits: what others write must not take long to read.
+# No valid number has more digits; the limit bounds the time that parsing a
+# header takes.
 _MAX_DIGITS = 15
 
 _HOP_BY_HOP_HEADERS = frozenset(
@@ -31,7 +32,7 @@
         "upgrade",
     ]
 )
-_OWN = frozenset(
+_RESERVED_HEADERS = frozenset(
     [
         "host",
         "content-length",
@@ -42,14 +43,14 @@
         "x-request-id",
     ]
 )
-_OWN_PREFIXES = ("x-engine-", "x-expect-", "x-weights-", "x-hillthread-")
+_RESERVED_PREFIXES = ("x-engine-", "x-expect-", "x-weights-", "x-hillthread-")
 
 
 def filter_request_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Returns a caller's headers that pass to a target.
+    """Returns a caller's headers that are forwarded to a target.
 
-    The caller's key never passes, nor does anything that the engine protocol
-    gives a meaning.
+    The caller's key is never forwarded, nor are headers that have a meaning in
+    the engine protocol.
     """
     return {
         name: value
@@ -61,11 +62,11 @@
 def filter_answer_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[bytes, bytes]]:
-    """Returns a target's headers that pass to the caller."""
+    """Returns a target's headers that are relayed to the caller."""
     return [
         (name.lower().encode("latin-1"), value.encode("latin-1"))
         for name, value in headers
-        if _answers(name.lower())
+        if _is_relayed(name.lower())
     ]
 
 
@@ -81,10 +82,10 @@
 
 
 def parse_retry_after(text: str) -> float:
-    """Returns the seconds that `Retry-After` asks for; 0 if unreadable.
+    """Returns the delay in a `Retry-After` header, seconds; 0 if unreadable.
 
     Args:
-        text: Seconds, also fractions, or an HTTP date.
+        text: Seconds, possibly with a fraction, or an HTTP date.
     """
     seconds = parse_decimal(text)
     if seconds is not None:
@@ -97,19 +98,19 @@
 
 
 def _is_forwarded(name: str, connection: str) -> bool:
-    if name in _HOP_BY_HOP_HEADERS or name in _OWN:
+    if name in _HOP_BY_HOP_HEADERS or name in _RESERVED_HEADERS:
         return False
-    if name.startswith(_OWN_PREFIXES):
+    if name.startswith(_RESERVED_PREFIXES):
         return False
     named = [each.strip().lower() for each in connection.split(",")]
     return name not in named
 
 
-def _answers(name: str) -> bool:
+def _is_relayed(name: str) -> bool:
     if name in _HOP_BY_HOP_HEADERS or name in (
         "x-request-id",
         "server",
         "date",
     ):
         return False
-    return not name.startswith(_OWN_PREFIXES)
+    return not name.startswith(_RESERVED_PREFIXES)
--- a/hillthread/protocol/log_story.py
+++ b/hillthread/protocol/log_story.py
@@ -1,4 +1,4 @@
-"""Tells what happened to a request from log lines of several hosts."""
+"""Reconstructs the history of a request from the logs of several hosts."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
     "format_history",
 ]
 
-# Lines of the host itself this close to the request may explain it.
-_CONTEXT_S = 5.0
-# The same request this close may be another try.
-_TRY_S = 10.0
+# Lines about the host up to this long before the request may explain it.
+_CONTEXT_WINDOW_S = 5.0
+# Equal requests within this time may be tries of the same caller.
+_RETRY_WINDOW_S = 10.0
 _CONTEXT_EVENTS = frozenset(
     [
         "start",
@@ -45,10 +45,10 @@
     """One log line.
 
     Attributes:
-        at: Seconds since 1970, when it was decided.
-        host: Whose log it is.
-        event: What was decided.
-        fields: All that the line says.
+        at: Time of the event, seconds since 1970.
+        host: Name of the host that wrote the log.
+        event: Name of the event.
+        fields: All fields of the line.
     """
 
     at: float
@@ -58,15 +58,15 @@
 
 
 class RequestHistory(NamedTuple):
-    """What the logs say of one request.
+    """The log lines of one request, and the conclusions from them.
 
     Attributes:
-        request_id: Its id.
-        lines: About it, in order.
-        context: Of the hosts that served it, at about that time.
+        request_id: Id of the request.
+        lines: Lines about the request, in order of time.
+        context: Lines about the hosts that served it, of about that time.
         other_tries: Ids of requests that may be other tries of the caller.
-        cause: Why it ended as it did.
-        missing: What the logs do not hold.
+        cause: The reason for its outcome, in words.
+        missing: Parts of the history that the logs do not contain.
     """
 
     request_id: str
@@ -78,12 +78,12 @@
 
 
 def parse_lines(name: str, lines: Iterable[str]) -> list[LogLine]:
-    """Returns the log lines of one host; what is none is passed over.
+    """Returns the log lines of one host; other lines are skipped.
 
     Args:
-        name: Stands for the host until a line tells its name.
-        lines: Of the file. What stands before the first brace, as collectors
-            put it there, is passed over.
+        name: Name of the host until a line states its name.
+        lines: The lines of a log file. Text before the first brace of a line,
+            which log collectors add, is ignored.
     """
     host = name
     parsed = []
@@ -107,38 +107,43 @@
 def find_history(
     request_id: str, lines: list[LogLine]
 ) -> RequestHistory | None:
-    """Returns the story of a request, or None when no line is about it."""
-    own = [each for each in lines if each.fields.get("request") == request_id]
-    if not own:
+    """Returns the history of a request; None if no line is about it."""
+    own_lines = [
+        each for each in lines if each.fields.get("request") == request_id
+    ]
+    if not own_lines:
         return None
-    own.sort(key=lambda line: line.at)
-    hosts = {line.host for line in own}
+    own_lines.sort(key=lambda line: line.at)
+    hosts = {line.host for line in own_lines}
     context = [
         line
         for line in lines
         if line.event in _CONTEXT_EVENTS
         and line.host in hosts
-        and own[0].at - _CONTEXT_S <= line.at <= own[-1].at + 1.0
+        and own_lines[0].at - _CONTEXT_WINDOW_S
+        <= line.at
+        <= own_lines[-1].at + 1.0
     ]
-    outage = _outage(own[-1], lines)
+    outage = _find_outage(own_lines[-1], lines)
     if outage is not None and outage not in context:
         context.append(outage)
     context.sort(key=lambda line: line.at)
     return RequestHistory(
         request_id,
-        own,
+        own_lines,
         context,
-        _other_tries(own, lines),
-        _cause(own, outage),
-        _missing(own, context),
+        _find_other_tries(own_lines, lines),
+        _find_cause(own_lines, outage),
+        _list_missing(own_lines, context),
     )
 
 
-def _outage(last: LogLine, lines: list[LogLine]) -> LogLine | None:
-    """Returns when the host of a line had lost the store, if it still had.
+def _find_outage(last: LogLine, lines: list[LogLine]) -> LogLine | None:
+    """Returns the line on the store outage that lasts at a given line, if any.
 
-    It may have been long before. A process that started later found the store
-    again, or lost it anew.
+    Only lines of the same host count. The outage may have begun long before. It
+    is over once the process has restarted, which reports a new outage if the
+    store is still unavailable.
     """
     outage = None
     changes = ("store_lost", "store_back", "start")
@@ -154,25 +159,29 @@
     return outage
 
 
-def format_history(story: RequestHistory) -> str:
-    """Returns a story in words."""
-    first = story.lines[0].at
-    text = [f"Request {story.request_id}:"]
-    for line in story.lines:
-        text.append(f"  {line.at - first:+8.3f} s {line.host}: {_words(line)}")
-    if story.context:
-        text.append("The host at that time:")
-    for line in story.context:
-        text.append(f"  {line.at - first:+8.3f} s {line.host}: {_words(line)}")
-    text.append(f"Cause: {story.cause}")
-    if story.other_tries:
-        ids = ", ".join(story.other_tries)
-        text.append(f"May be other tries of the same caller: {ids}")
-    text += [f"Not in the logs: {each}" for each in story.missing]
-    return "\n".join(text)
-
-
-def _words(line: LogLine) -> str:
+def format_history(history: RequestHistory) -> str:
+    """Returns a history as text for people."""
+    first = history.lines[0].at
+    output = [f"Request {history.request_id}:"]
+    for line in history.lines:
+        output.append(
+            f"  {line.at - first:+8.3f} s {line.host}: {_describe_line(line)}"
+        )
+    if history.context:
+        output.append("The host at that time:")
+    for line in history.context:
+        output.append(
+            f"  {line.at - first:+8.3f} s {line.host}: {_describe_line(line)}"
+        )
+    output.append(f"Cause: {history.cause}")
+    if history.other_tries:
+        ids = ", ".join(history.other_tries)
+        output.append(f"May be other tries of the same caller: {ids}")
+    output += [f"Not in the logs: {each}" for each in history.missing]
+    return "\n".join(output)
+
+
+def _describe_line(line: LogLine) -> str:
     fields = line.fields
     match line.event:
         case "admitted":
@@ -193,7 +202,7 @@
                 f"{'; '.join(fields.get('candidates', []))}"
             )
         case "attempt":
-            return _attempt_words(fields)
+            return _describe_attempt(fields)
         case "retry" | "no_retry":
             allowed = "allowed" if line.event == "retry" else "not allowed"
             return (
@@ -213,29 +222,33 @@
                 f"answered whole with status {fields.get('status')} after "
                 f"{fields.get('seconds')} s"
             )
-    return _plain_words(line)
+    return _describe_fields(line)
 
 
-def _attempt_words(fields: dict[str, Any]) -> str:
-    told = [f"attempt on {fields.get('target')} ended {fields.get('outcome')}"]
+def _describe_attempt(fields: dict[str, Any]) -> str:
+    details = [
+        f"attempt on {fields.get('target')} ended {fields.get('outcome')}"
+    ]
     for name in ("reason", "status", "weights", "answered_weights"):
         if fields.get(name) is not None:
-            told.append(f"{name.replace('_', ' ')} {fields[name]}")
+            details.append(f"{name.replace('_', ' ')} {fields[name]}")
     if fields.get("cache"):
         saved = ", saved there" if fields.get("saves") else ""
-        told.append(f"cache {fields['cache']}{saved}")
+        details.append(f"cache {fields['cache']}{saved}")
     if fields.get("reused"):
-        told.append("on a kept connection")
+        details.append("on a kept connection")
     if fields.get("ejected"):
-        told.append("the target is ejected")
+        details.append("the target is ejected")
     if fields.get("announced_leaving"):
-        told.append("the target announced that it leaves")
+        details.append("the target announced that it leaves")
     if fields.get("backoff_s"):
-        told.append(f"the target asked for {fields['backoff_s']} s of back-off")
-    return f"{', '.join(told)}, after {fields.get('seconds')} s"
+        details.append(
+            f"the target asked for {fields['backoff_s']} s of back-off"
+        )
+    return f"{', '.join(details)}, after {fields.get('seconds')} s"
 
 
-def _plain_words(line: LogLine) -> str:
+def _describe_fields(line: LogLine) -> str:
     skipped = {
         "at",
         "created",
@@ -245,46 +258,46 @@
         "request",
         "labels",
     }
-    told = [
+    details = [
         f"{name}={value}"
         for name, value in line.fields.items()
         if name not in skipped and value is not None
     ]
     name = line.event.replace("_", " ")
-    return f"{name} ({', '.join(told)})" if told else name
+    return f"{name} ({', '.join(details)})" if details else name
 
 
-def _cause(own: list[LogLine], outage: LogLine | None) -> str:
-    """Returns why a request ended as it did, in a sentence."""
-    last = {line.event: line for line in own}
+def _find_cause(own_lines: list[LogLine], outage: LogLine | None) -> str:
+    """Returns the reason for the outcome of a request, as a sentence."""
+    last = {line.event: line for line in own_lines}
     refused = last.get("refused")
     if refused is not None:
-        return _refusal_cause(refused, own, outage)
+        return _find_refusal_cause(refused, own_lines, outage)
     if "deadline_passed" in last and "answer_broken" in last:
-        answers = _targets_with_status(own, "whole")
+        answers = _list_targets_by_outcome(own_lines, "whole")
         whose = f" (answers: {answers})" if answers else ""
         return f"its time was over while an answer was passed on{whose}."
     if "answer_broken" in last:
-        failed = _last_failure(own)
+        failed = _describe_last_failure(own_lines)
         why = last.get("no_resume")
         rest = f"; it did not go on because {why.fields['why']}" if why else ""
         return f"its stream broke off: {failed}{rest}."
     if "requester_left" in last:
         return "the caller left before the answer was whole."
     if "answered" in last:
-        return _answer_cause(last["answered"], own)
+        return _find_answer_cause(last["answered"], own_lines)
     return "the log of the host ends before the request did."
 
 
-def _answer_cause(answered: LogLine, own: list[LogLine]) -> str:
+def _find_answer_cause(answered: LogLine, own_lines: list[LogLine]) -> str:
     if int(answered.fields.get("status") or 0) < 500:
         return "none; it was answered whole."
-    failed = _targets_with_status(own, "whole")
+    failed = _list_targets_by_outcome(own_lines, "whole")
     return f"targets ran it and failed: {failed}; that was passed on."
 
 
-def _refusal_cause(
-    refused: LogLine, own: list[LogLine], outage: LogLine | None
+def _find_refusal_cause(
+    refused: LogLine, own_lines: list[LogLine], outage: LogLine | None
 ) -> str:
     fields = refused.fields
     match fields.get("code"):
@@ -297,39 +310,42 @@
             age = fields.get("store_age_s")
             return f"{fields['reason']} Its knowledge was {age} s old{since}."
         case "no_target":
-            choices = [line for line in own if line.event == "no_target"]
+            choices = [line for line in own_lines if line.event == "no_target"]
             seen = choices[-1].fields.get("candidates") if choices else []
             left = f"no target could be taken: {'; '.join(seen) or 'none'}."
-            tried = _refusing_targets(own)
+            tried = _list_refusing_targets(own_lines)
             return f"targets refused it: {tried}; {left}" if tried else left
         case "overloaded":
-            return f"targets refused it: {_refusing_targets(own)}."
+            return f"targets refused it: {_list_refusing_targets(own_lines)}."
         case "target_failed":
-            return f"{_last_failure(own)}, and it may not run again."
+            return (
+                f"{_describe_last_failure(own_lines)}, and it may not run "
+                "again."
+            )
         case "deadline":
-            return f"its time was over: {_last_failure(own)}."
+            return f"its time was over: {_describe_last_failure(own_lines)}."
         case "stopping":
-            return f"its host ended: {_last_failure(own)}."
+            return f"its host ended: {_describe_last_failure(own_lines)}."
     return str(fields.get("reason"))
 
 
-def _refusing_targets(own: list[LogLine]) -> str:
-    return _targets_with_status(own, "notrun")
+def _list_refusing_targets(own_lines: list[LogLine]) -> str:
+    return _list_targets_by_outcome(own_lines, "notrun")
 
 
-def _targets_with_status(own: list[LogLine], outcome: str) -> str:
-    """Returns the targets whose attempts ended so, each with its status."""
+def _list_targets_by_outcome(own_lines: list[LogLine], outcome: str) -> str:
+    """Returns the targets of attempts with an outcome, with their status."""
     return ", ".join(
         f"{line.fields.get('target')} ({line.fields.get('status')})"
-        for line in own
+        for line in own_lines
         if line.event == "attempt" and line.fields.get("outcome") == outcome
     )
 
 
-def _last_failure(own: list[LogLine]) -> str:
+def _describe_last_failure(own_lines: list[LogLine]) -> str:
     failures = [
         line
-        for line in own
+        for line in own_lines
         if line.event == "attempt"
         and line.fields.get("outcome") not in ("whole", "relayed")
     ]
@@ -340,8 +356,10 @@
     return f"target {fields.get('target')} failed ({why})"
 
 
-def _other_tries(own: list[LogLine], lines: list[LogLine]) -> list[str]:
-    admitted = [line for line in own if line.event == "admitted"]
+def _find_other_tries(
+    own_lines: list[LogLine], lines: list[LogLine]
+) -> list[str]:
+    admitted = [line for line in own_lines if line.event == "admitted"]
     if not admitted:
         return []
     first = admitted[0]
@@ -351,19 +369,24 @@
         if line.event == "admitted"
         and line.fields.get("request") != first.fields.get("request")
         and _is_same_request(line.fields, first.fields)
-        and abs(line.at - first.at) <= _TRY_S
+        and abs(line.at - first.at) <= _RETRY_WINDOW_S
     ]
 
 
 def _is_same_request(one: dict[str, Any], other: dict[str, Any]) -> bool:
-    """Returns whether two admitted requests ask for the same."""
+    """Returns whether two admitted requests are the same, as far as known.
+
+    Without digests, their paths and tenants are compared.
+    """
     names = ("digest",) if "digest" in one else ("path", "tenant")
     return all(one.get(name) == other.get(name) for name in names)
 
 
-def _missing(own: list[LogLine], context: list[LogLine]) -> list[str]:
+def _list_missing(
+    own_lines: list[LogLine], context: list[LogLine]
+) -> list[str]:
     missing = []
-    events = {line.event for line in own}
+    events = {line.event for line in own_lines}
     ends = {"refused", "answered", "answer_broken", "requester_left"}
     if not events & ends:
         missing.append("the end of the request; its host may have ended")
--- a/hillthread/protocol/messages.py
+++ b/hillthread/protocol/messages.py
@@ -1,4 +1,4 @@
-"""Messages between hillthread's own processes: CBOR, typed, versioned."""
+"""Typed and versioned CBOR messages between hillthread's processes."""
 
 from __future__ import annotations
 
@@ -22,23 +22,24 @@
 
 VERSION = 1
 MAX_MESSAGE_BYTES = 4_194_304
+# Position in `WantRecords` that requests a snapshot.
 FULL_SNAPSHOT = -2
 
 
 class _Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """The base of all messages: an array that begins with the type's name.
+    """Base of all messages, which are arrays that begin with the type's tag.
 
-    Field names would be half of the bytes. Fields are added at the end only,
-    with a default, so that an older release passes over them.
+    Field names would make up half of the bytes. New fields are added only at
+    the end and with a default, so that an older release ignores them.
     """
 
 
 class Challenge(_Message, frozen=True, tag="challenge"):
-    """The first message of the side that accepts.
+    """The first message of the side that accepts a connection.
 
     Attributes:
-        version: Of the protocol.
-        nonce: To be answered with a proof.
+        version: Version of the protocol.
+        nonce: Nonce for the peer's proof.
     """
 
     version: int
@@ -49,13 +50,13 @@
     """The answer of the side that connects.
 
     Attributes:
-        version: Of the protocol.
+        version: Version of the protocol.
         role: `router` or `control`.
-        host: The host's name.
-        data_centre: Its data centre.
-        incarnation: New with each start of the process.
-        nonce: To be answered with a proof.
-        proof: Of the shared secret, over the challenge's nonce.
+        host: Name of the host.
+        data_centre: Name of its data centre.
+        incarnation: Id of the process, new at each start.
+        nonce: Nonce for the peer's proof.
+        proof: Proof of the shared secret, over the challenge's nonce.
     """
 
     version: int
@@ -68,7 +69,7 @@
 
 
 class Welcome(_Message, frozen=True, tag="welcome"):
-    """Ends the handshake; fields as in `Hello`."""
+    """Completes the handshake; fields as in `Hello`."""
 
     host: str
     data_centre: str
@@ -80,10 +81,11 @@
     """Sent at fixed intervals over each link between hosts.
 
     Attributes:
-        position: Configuration position in force; -1 for none.
-        chain: Digest over the records up to it.
-        silent_s: Seconds since the sender last heard the receiver; -1 never.
-        positions: Positions of other hosts, as the sender knows them.
+        position: Position of the applied configuration; -1 for none.
+        chain: Digest over the records up to that position.
+        silent_s: Seconds since the sender last received a message from the
+            receiver; -1 if it never has.
+        positions: Positions of other hosts, as known to the sender.
     """
 
     position: int
@@ -93,12 +95,12 @@
 
 
 class Records(_Message, frozen=True, tag="records"):
-    """Configuration records passed on, in log order without a gap.
+    """Forwarded configuration records in log order without a gap.
 
     Attributes:
-        first_offset: Of the first payload.
-        payloads: The records' bytes as on the log.
-        chain: Digest over all records up to the last of them.
+        first_offset: Offset of the first record.
+        payloads: Bytes of the records as in the log.
+        chain: Digest over all records up to the last of these.
     """
 
     first_offset: int
@@ -107,24 +109,24 @@
 
 
 class WantRecords(_Message, frozen=True, tag="want"):
-    """Asks for all records after a position; `EVERYTHING` for a snapshot."""
+    """Requests the records after a position; `FULL_SNAPSHOT` for a snapshot."""
 
     after: int
 
 
 class SnapshotMessage(_Message, frozen=True, tag="snapshot"):
-    """A whole configuration, encoded as on the log."""
+    """A complete configuration, encoded as in the log."""
 
     payload: bytes
 
 
 class TargetState(_Message, frozen=True, tag="target_state"):
-    """Tells that a target leaves or is listed live.
+    """Announces that a target is leaving or is listed as live.
 
     Attributes:
-        target: Its name.
-        incarnation: Which one; empty when not known.
-        leaving: Whether it leaves.
+        target: Name of the target.
+        incarnation: Incarnation of the target; empty if unknown.
+        leaving: Whether the target is leaving.
     """
 
     target: str
@@ -133,16 +135,16 @@
 
 
 class TargetLoad(msgspec.Struct, frozen=True, array_like=True):
-    """A target's load as its watcher read it.
+    """The load of a target, as read by the host that watches it.
 
     Attributes:
-        target: Its name.
-        running: Requests being computed.
-        waiting: Requests queued in it.
-        inserted_tokens: Tokens put into its cache since it started.
-        cache_tokens: Size of its cache.
-        incarnation: Of the engine.
-        weights_version: Of the engine.
+        target: Name of the target.
+        running: Number of running requests.
+        waiting: Number of queued requests.
+        inserted_tokens: Tokens added to its cache since its start.
+        cache_tokens: Size of its cache in tokens.
+        incarnation: Incarnation of the engine.
+        weights_version: Weights version of the engine.
     """
 
     target: str
@@ -155,13 +157,16 @@
 
 
 class Loads(_Message, frozen=True, tag="loads"):
-    """What a watcher read in one round."""
+    """The loads that a host read in one round of its watched targets."""
 
     loads: list[TargetLoad]
 
 
 class SharedPlacement(msgspec.Struct, frozen=True, array_like=True):
-    """A placement told to other routers, as in `share_outbox.Share`."""
+    """A placement that other routers are notified of.
+
+    The digests and token counts are those of the prompt's shared levels.
+    """
 
     target: str
     incarnation: str
@@ -172,17 +177,17 @@
 
 
 class Shares(_Message, frozen=True, tag="shares"):
-    """Placements of one router since its last message."""
+    """The placements of one router since its previous message."""
 
     placements: list[SharedPlacement]
 
 
 class Members(_Message, frozen=True, tag="members"):
-    """Tells a router how many other routers its data centre has.
+    """Notifies a router of the number of other routers in its data centre.
 
     Attributes:
-        heard: Those whose shares come in.
-        silent: Those known but not heard.
+        reachable: Number of routers whose placements arrive.
+        unreachable: Number of other known routers.
     """
 
     reachable: int
@@ -190,10 +195,10 @@
 
 
 class Demand(_Message, frozen=True, tag="demand"):
-    """What one router's callers want of limited tenants.
+    """The request rates of one router's callers that belong to limited tenants.
 
     Attributes:
-        host: The router's host.
+        host: Host of the router.
         rates: Requests a second, by tenant.
     """
 
@@ -202,10 +207,10 @@
 
 
 class RecordQuery(_Message, frozen=True, tag="record_query"):
-    """Asks for decision records; fields as in `RecordFilter`.
+    """Requests decision records; other fields as in `RecordFilter`.
 
     Attributes:
-        query_id: To be repeated in the reply.
+        query_id: Id that the reply repeats.
     """
 
     query_id: int
@@ -217,25 +222,25 @@
 
 
 class RecordReply(_Message, frozen=True, tag="record_reply"):
-    """The records found, a JSON list."""
+    """The records found, as a JSON list."""
 
     query_id: int
     documents: bytes
 
 
 class FinishedRecord(_Message, frozen=True, tag="finished"):
-    """A decision record worth keeping beyond the host, as JSON."""
+    """A decision record, as JSON, that is also kept outside its host."""
 
     document: bytes
 
 
 class ClaimRequest(_Message, frozen=True, tag="claim"):
-    """Asks to claim an idempotency key.
+    """Requests a claim on an idempotency key.
 
     Attributes:
-        claim_id: To be repeated in the reply.
-        digest: Of tenant and key.
-        holder: The request that wants to run.
+        claim_id: Id that the reply repeats.
+        digest: Digest of tenant and key.
+        holder: Id of the request that is to run.
     """
 
     claim_id: int
@@ -244,14 +249,14 @@
 
 
 class ClaimRelease(_Message, frozen=True, tag="claim_release"):
-    """Gives a claim back; fields as in `ClaimRequest`."""
+    """Releases a claim; fields as in `ClaimRequest`."""
 
     digest: bytes
     holder: str
 
 
 class ClaimReply(_Message, frozen=True, tag="claim_reply"):
-    """`granted`, `taken` or `unavailable`."""
+    """The verdict on a claim: `granted`, `taken` or `unavailable`."""
 
     claim_id: int
     verdict: str
@@ -289,28 +294,35 @@
     """Returns the message in CBOR bytes.
 
     Raises:
-        PeerError: They are no message of this version.
+        PeerError: The bytes are not a message of this version.
     """
     if len(data) > MAX_MESSAGE_BYTES:
-        raise _malformed("it is too large")
+        raise _make_decode_error("it is too large")
     try:
         plain: Any = cbor2.loads(data)
         return msgspec.convert(
             plain, Message, builtin_types=(bytes,), strict=True
         )
     except Exception as error:
-        # cbor2 raises many kinds of error for input that is not CBOR.
-        raise _malformed(str(error)) from error
+        # cbor2 raises various types of errors for input that is not CBOR.
+        raise _make_decode_error(str(error)) from error
 
 
 def make_proof(secret: str, nonce: bytes, *fields: str) -> bytes:
-    """Returns the proof that a process knows the shared secret."""
+    """Returns the proof that a process has the shared secret.
+
+    Args:
+        secret: The shared secret.
+        nonce: The nonce from the peer.
+        *fields: Fields of the message that the proof covers.
+    """
     text = "\0".join(fields).encode()
     return hmac.digest(secret.encode(), nonce + text, hashlib.sha256)
 
 
-def _malformed(reason: str) -> errors.PeerError:
+def _make_decode_error(reason: str) -> errors.PeerError:
     return errors.PeerError(
-        f"A message does not decode: {reason[:200]}.",
-        "Run the same release on all hosts; check for foreign connections.",
+        f"A message cannot be decoded: {reason[:200]}.",
+        "Run the same release on all hosts; check for other programs that "
+        "connect.",
     )
--- a/hillthread/protocol/openai.py
+++ b/hillthread/protocol/openai.py
@@ -1,4 +1,4 @@
-"""The callers' interface: completion requests and error bodies."""
+"""Parses completion requests of callers; encodes engine and error bodies."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 
 class CompletionRequest(NamedTuple):
-    """A checked completion request.
+    """A valid completion request.
 
     Attributes:
         body: The decoded JSON, as the caller sent it.
-        model: The model asked for.
-        stream: Whether the caller wants a stream.
-        wants_usage: Whether the caller asked for usage in the stream.
-        parts: The prompt cut at its message boundaries.
-        max_tokens: The answer's limit, or None.
+        model: The requested model.
+        stream: Whether the caller requests a stream.
+        wants_usage: Whether the caller requests usage in the stream.
+        parts: The prompt, split at its message boundaries.
+        max_tokens: Maximum length of the answer in tokens, or None.
     """
 
     body: dict[str, Any]
@@ -50,7 +50,7 @@
 
 
 class ErrorDetail(TypedDict):
-    """The `error` object of a refusal."""
+    """The `error` object in the body of a refusal."""
 
     message: str
     type: str
@@ -61,7 +61,7 @@
 
 
 class ErrorBody(TypedDict):
-    """A refusal in the callers' usual shape."""
+    """The body of a refusal in the format that callers expect."""
 
     error: ErrorDetail
 
@@ -71,22 +71,29 @@
 
     Args:
         raw: The body as received.
-        chat: Whether it is a chat completion.
+        chat: Whether the request is a chat completion.
 
     Raises:
         RefusalError: The body is not a valid request.
     """
-    body = _decode(raw)
+    body = _decode_body(raw)
     model = body.get("model")
     if not isinstance(model, str) or not model:
-        raise _invalid("`model` is missing.", "Name a model of /v1/models.")
+        raise _make_invalid_error(
+            "`model` is missing.", "Name a model of /v1/models."
+        )
     options = body.get("stream_options")
     if options is not None and not isinstance(options, dict):
-        raise _invalid("`stream_options` is no object.", "Send an object.")
+        raise _make_invalid_error(
+            "`stream_options` is not an object.", "Send an object."
+        )
     max_tokens = body.get("max_tokens", body.get("max_completion_tokens"))
     if max_tokens is not None and not _is_count(max_tokens):
-        raise _invalid("`max_tokens` is no count.", "Send a whole number > 0.")
-    parts = _message_parts(body) if chat else _prompt_parts(body)
+        raise _make_invalid_error(
+            "`max_tokens` is not a positive whole number.",
+            "Send a whole number > 0.",
+        )
+    parts = _parse_message_parts(body) if chat else _parse_prompt_parts(body)
     return CompletionRequest(
         body,
         model,
@@ -102,10 +109,10 @@
 ) -> bytes:
     """Returns the body sent to an engine.
 
-    The caller's own `cache_salt` and `priority` never pass: both are the
-    router's to set.
+    The router sets `cache_salt` and `priority`; those of the caller are never
+    forwarded.
     """
-    return _encoder.encode(_upstream(request, salt, priority))
+    return _encoder.encode(_make_upstream_body(request, salt, priority))
 
 
 def encode_continuation_body(
@@ -115,18 +122,18 @@
     text: str,
     tokens: int,
 ) -> bytes:
-    """Returns the body that has another engine continue a broken answer.
+    """Returns the body with which another engine continues a partial answer.
 
     Args:
         request: The original request, a chat completion.
         salt: The organisation's cache salt.
-        priority: The class of the request.
-        text: What the caller has received so far.
-        tokens: How many tokens that is.
+        priority: The priority of the request.
+        text: The text that the caller has received so far.
+        tokens: The number of tokens in that text.
     """
-    body = _upstream(request, salt, priority)
-    said = {"role": "assistant", "content": text}
-    body["messages"] = [*body["messages"], said]
+    body = _make_upstream_body(request, salt, priority)
+    received_message = {"role": "assistant", "content": text}
+    body["messages"] = [*body["messages"], received_message]
     body["continue_final_message"] = True
     body["add_generation_prompt"] = False
     if request.max_tokens is not None:
@@ -136,11 +143,13 @@
 
 def encode_error_body(refusal: errors.RefusalError, request_id: str) -> bytes:
     """Returns the JSON body of a refusal."""
-    kind = "invalid_request_error" if refusal.status < 500 else "server_error"
+    error_type = (
+        "invalid_request_error" if refusal.status < 500 else "server_error"
+    )
     body: ErrorBody = {
         "error": {
             "message": refusal.message,
-            "type": kind,
+            "type": error_type,
             "code": refusal.code,
             "remedy": refusal.remedy,
             "request_id": request_id,
@@ -151,13 +160,13 @@
 
 
 def format_retry_after(refusal: errors.RefusalError) -> bytes | None:
-    """Returns the value of `Retry-After`, whole seconds, or None."""
+    """Returns the value of `Retry-After` in whole seconds, or None."""
     if refusal.retry_after_s is None:
         return None
     return str(max(1, math.ceil(refusal.retry_after_s))).encode()
 
 
-def _upstream(
+def _make_upstream_body(
     request: CompletionRequest, salt: str, priority: int
 ) -> dict[str, Any]:
     body = dict(request.body)
@@ -170,33 +179,35 @@
     return body
 
 
-def _decode(raw: bytes) -> dict[str, Any]:
+def _decode_body(raw: bytes) -> dict[str, Any]:
     try:
         body = _decoder.decode(raw)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise _invalid(
+        raise _make_invalid_error(
             f"The body is not JSON: {error}.", "Send one JSON object."
         ) from error
     if not isinstance(body, dict):
-        raise _invalid("The body is no JSON object.", "Send one JSON object.")
-    if _depth_exceeds(body, _MAX_DEPTH):
-        raise _invalid(
+        raise _make_invalid_error(
+            "The body is not a JSON object.", "Send one JSON object."
+        )
+    if _is_deeper_than(body, _MAX_DEPTH):
+        raise _make_invalid_error(
             f"The body is nested deeper than {_MAX_DEPTH}.",
             "Send a flatter object.",
         )
     return body
 
 
-def _depth_exceeds(value: object, limit: int) -> bool:
+def _is_deeper_than(value: object, limit: int) -> bool:
     level = [value]
     for _ in range(limit):
-        level = [child for each in level for child in _children(each)]
+        level = [child for each in level for child in _list_children(each)]
         if not level:
             return False
     return True
 
 
-def _children(value: object) -> list:
+def _list_children(value: object) -> list:
     match value:
         case dict():
             return [x for x in value.values() if isinstance(x, dict | list)]
@@ -206,28 +217,36 @@
             return []
 
 
-def _message_parts(body: dict[str, Any]) -> tuple[str, ...]:
+def _parse_message_parts(body: dict[str, Any]) -> tuple[str, ...]:
     messages = body.get("messages")
     if not isinstance(messages, list) or not messages:
-        raise _invalid("`messages` is missing or empty.", "Send messages.")
-    return tuple(_message_text(message) for message in messages)
+        raise _make_invalid_error(
+            "`messages` is missing or empty.", "Send messages."
+        )
+    return tuple(_extract_message_text(message) for message in messages)
 
 
-def _message_text(message: object) -> str:
+def _extract_message_text(message: object) -> str:
     if not isinstance(message, dict):
-        raise _invalid("A message is no object.", "Send role and content.")
+        raise _make_invalid_error(
+            "A message is not an object.", "Send role and content."
+        )
     content = message.get("content")
     if isinstance(content, str):
         return f"{message.get('role')}\0{content}"
     if content is None or isinstance(content, list):
         return f"{message.get('role')}\0{_encoder.encode(message).decode()}"
-    raise _invalid("A message's content is no text.", "Send a string.")
+    raise _make_invalid_error(
+        "A message's content is not text.", "Send a string."
+    )
 
 
-def _prompt_parts(body: dict[str, Any]) -> tuple[str, ...]:
+def _parse_prompt_parts(body: dict[str, Any]) -> tuple[str, ...]:
     text = body.get("prompt")
     if not isinstance(text, str):
-        raise _invalid("`prompt` is no string.", "Send one string.")
+        raise _make_invalid_error(
+            "`prompt` is not a string.", "Send one string."
+        )
     return tuple(prompt.split_text(text))
 
 
@@ -237,5 +256,5 @@
     return value > 0
 
 
-def _invalid(message: str, remedy: str) -> errors.RefusalError:
+def _make_invalid_error(message: str, remedy: str) -> errors.RefusalError:
     return errors.RefusalError("invalid_request", 400, message, remedy)
--- a/hillthread/protocol/work_notice.py
+++ b/hillthread/protocol/work_notice.py
@@ -1,7 +1,8 @@
-"""What hosts tell each other: work, weights, targets, use of quotas.
+"""Notices between hosts on work, weights, targets and the usage of quotas.
 
-Packets are datagrams. Names that both sides know travel as checksums: all hosts
-together send some 200 notices a second, and each hears all of them.
+Packets are datagrams. Names known to both sides are sent as checksums to keep
+packets small: all hosts together send about 200 notices a second, and each host
+receives all of them.
 """
 
 from __future__ import annotations
@@ -43,46 +44,45 @@
 
 _Notice = TypeVar("_Notice")
 
-# What one packet carries on any link; longer ones are cut off, and passed over.
+# Packets up to this size pass any link; longer ones are truncated and ignored.
 MAX_PACKET_BYTES = 1_400
-# Notices of prompts with three shared parts that fit into it.
+# Number of notices on prompts with three shared parts that fit into a packet.
 MAX_WORK_NOTICES = 18
-# Of 25 bytes each.
+# Suspect notices have 25 bytes each.
 MAX_SUSPECT_NOTICES = 40
-# Of 15 bytes each.
+# Limit notices have 15 bytes each.
 MAX_LIMIT_NOTICES = 80
-# Of 6 bytes each.
+# Departure notices have 6 bytes each.
 MAX_DEPARTURE_NOTICES = 100
-# Of a notice of a prompt, of one total of use, and of what stands around those
-# of one sender.
-_WORK_BYTES = 76
-_TOTAL_BYTES = 24
-_USAGE_BYTES = 24
-# Lists that every packet holds.
-_FIRST_FIELDS = 2
-# Around all of it.
-_FRAME_BYTES = 16
+# Sizes used to estimate the size of a packet. A usage notice of one sender has
+# an overhead in addition to its totals.
+_WORK_NOTICE_BYTES = 76
+_USAGE_TOTAL_BYTES = 24
+_USAGE_OVERHEAD_BYTES = 24
+# Every packet has the lists of work and weights, also when they are empty.
+_REQUIRED_LIST_COUNT = 2
+_PACKET_OVERHEAD_BYTES = 16
 
 
 class PacketAction(enum.StrEnum):
-    """What the receiver of a packet does with it, besides taking it in."""
+    """What the receiver of a packet does with it, besides applying it."""
 
-    APPLY = "t"
-    FORWARD = "p"  # tells the other hosts of its data centre
-    GATHER = "g"  # hands it on to all hosts, together with others'
-    DISTRIBUTE = "s"  # hands it on in its data centre, together with others'
+    APPLY = "t"  # nothing else
+    FORWARD = "p"  # forwards it at once to the other hosts of its data centre
+    GATHER = "g"  # forwards it, batched with other packets, to all hosts
+    DISTRIBUTE = "s"  # forwards it, batched likewise, in its data centre
 
 
 class WorkNotice(NamedTuple):
-    """One request that a host is about to send to an engine.
+    """A request that a host is about to send to an engine.
 
     Attributes:
         engine: Checksum of the engine's incarnation.
-        tokens: Prompt tokens it is expected to compute.
-        scope: Checksum of that within which parts are found again.
+        tokens: Prompt tokens that the engine is expected to compute.
+        scope: Checksum of the cache scope, within which prompts share parts.
         shared: Digest and tokens of each part that other prompts share, in
             order.
-        own_tokens: Of the part that is the request's own.
+        own_tokens: Tokens of the part that only this request has.
         origin: Checksum of the sender's name.
     """
 
@@ -95,13 +95,14 @@
 
 
 class WeightsNotice(NamedTuple):
-    """An engine that is about to load weights, or has just done so.
+    """A notice on an engine that is about to load weights or has loaded them.
 
     Attributes:
         engine: Checksum of the engine's incarnation.
-        model: Whose weights.
-        version: To be loaded, or held now.
-        loading: It begins nothing until another notice tells that it is done.
+        model: The model of the weights.
+        version: The version that is being loaded or is loaded now.
+        loading: The engine starts no request until another notice reports that
+            it has loaded the weights.
     """
 
     engine: int
@@ -111,20 +112,21 @@
 
 
 class SuspectEvent(enum.StrEnum):
-    """What a host has seen of a request under which targets may end."""
+    """An observation of a request that may make targets crash."""
 
-    TARGET_CRASHED = "e"  # a target ended while it was open there
-    SUCCEEDED = "w"  # it has ended well, and is no suspect any more
-    TRIAL_STARTED = "t"  # one host tries it for all
+    TARGET_CRASHED = "e"  # a target crashed while the request was open there
+    SUCCEEDED = "w"  # the request succeeded and is no longer suspected
+    TRIAL_STARTED = "t"  # one host tries the request on behalf of all hosts
 
 
 class SuspectNotice(NamedTuple):
-    """A request under which a target ended, or may have.
+    """A notice on a request during which a target crashed, or may have.
 
     Attributes:
-        digest: What all its tries have in common.
-        engine: Checksum of the target's incarnation; 0 where none is meant.
-        word: What was seen.
+        digest: Digest of the request, equal for all its tries.
+        engine: Checksum of the target's incarnation; 0 if the notice is not
+            about a target.
+        event: The observation.
     """
 
     digest: str
@@ -133,12 +135,12 @@
 
 
 class LimitNotice(NamedTuple):
-    """A target that named a limit, or names none any more.
+    """A notice on a target that has stated a limit or removed it.
 
     Attributes:
         engine: Checksum of the target's incarnation.
-        per_s: Requests a second that it takes from all hosts together; None
-            for no limit.
+        per_s: Requests a second that the target accepts from all hosts
+            together; None for no limit.
     """
 
     engine: int
@@ -146,7 +148,7 @@
 
 
 class DepartureNotice(NamedTuple):
-    """A target that announced its departure to a host.
+    """A notice on a target that has announced its departure to a host.
 
     Attributes:
         engine: Checksum of the target's incarnation.
@@ -156,17 +158,17 @@
 
 
 class Packet(NamedTuple):
-    """What one datagram holds.
+    """The content of one datagram.
 
     Attributes:
-        use: What the receiver does with it.
-        work: Prompts on their way.
-        weights: Loads that begin or have ended.
-        suspects: Requests under which targets ended, or that ended well.
-        usage: What was sent for organisations with a quota, and to targets
-            with a limit.
-        limits: Targets that named a limit.
-        departures: Targets that announced their departure.
+        action: What the receiver does with the packet.
+        work: Requests that are about to be sent to engines.
+        weights: Loads of weights that start or are finished.
+        suspects: Observations of requests that may make targets crash.
+        usage: Amounts sent for organisations with a quota, and to targets with
+            a limit.
+        limits: Targets that have stated or removed a limit.
+        departures: Targets that have announced their departure.
     """
 
     action: PacketAction
@@ -179,14 +181,14 @@
 
 
 def checksum(name: str) -> int:
-    """Returns what stands for a name in notices."""
+    """Returns the checksum of a name, which replaces it in notices."""
     return zlib.crc32(name.encode())
 
 
 def encode_packet(packet: Packet) -> bytes:
     """Returns a packet as CBOR."""
     fields: list[Any] = [str(packet.action)]
-    told: list[Sequence[Any]] = [
+    notice_lists: list[Sequence[Any]] = [
         packet.work,
         packet.weights,
         packet.suspects,
@@ -194,18 +196,19 @@
         packet.limits,
         packet.departures,
     ]
-    # An earlier release reads packets without what is last and empty.
-    while len(told) > _FIRST_FIELDS and not told[-1]:
-        told.pop()
-    fields += [[list(notice) for notice in notices] for notices in told]
+    # Earlier releases know fewer lists; they can decode a packet if the empty
+    # lists at its end are left out.
+    while len(notice_lists) > _REQUIRED_LIST_COUNT and not notice_lists[-1]:
+        notice_lists.pop()
+    fields += [[list(notice) for notice in notices] for notices in notice_lists]
     return cbor2.dumps(fields)
 
 
 def has_room(packet: Packet, notice: usage_exchange.UsageNotice) -> bool:
-    """Returns whether a packet of work and use can carry a notice more."""
-    used = _FRAME_BYTES + len(packet.work) * _WORK_BYTES
+    """Returns whether a packet of work and usage has room for a notice."""
+    used = _PACKET_OVERHEAD_BYTES + len(packet.work) * _WORK_NOTICE_BYTES
     for each in (*packet.usage, notice):
-        used += _USAGE_BYTES + len(each.totals) * _TOTAL_BYTES
+        used += _USAGE_OVERHEAD_BYTES + len(each.totals) * _USAGE_TOTAL_BYTES
     return used <= MAX_PACKET_BYTES
 
 
@@ -213,19 +216,19 @@
     """Returns the packet in a datagram.
 
     Raises:
-        PeerError: It is none.
+        PeerError: The datagram is not a valid packet.
     """
     try:
         return msgspec.convert(cbor2.loads(raw), Packet)
     except (cbor2.CBORDecodeError, msgspec.ValidationError) as error:
         raise errors.PeerError(
-            f"The packet of notices is not readable: {error}.",
+            f"The packet of notices is unreadable: {error}.",
             "Run the same release on all hosts.",
         ) from error
 
 
 def split_notices(notices: list[_Notice], size: int) -> list[list[_Notice]]:
-    """Returns notices in parts that a packet carries."""
+    """Returns the notices in lists of at most `size`, one for each packet."""
     return [
         notices[start : start + size] for start in range(0, len(notices), size)
     ]
@@ -236,18 +239,18 @@
     notices: list[WorkNotice],
     usage: list[usage_exchange.UsageNotice],
 ) -> list[Packet]:
-    """Returns notices in packets that any link carries.
+    """Returns packets with the notices, each small enough for any link.
 
-    What is told of use goes with the last of the work where there is room.
+    Usage notices are added to the last packet of work while it has room.
     """
     packed = [
-        Packet(action, some, [])
-        for some in split_notices(notices, MAX_WORK_NOTICES)
+        Packet(action, chunk, [])
+        for chunk in split_notices(notices, MAX_WORK_NOTICES)
     ]
     for notice in usage:
         if packed and has_room(packed[-1], notice):
-            told = [*packed[-1].usage, notice]
-            packed[-1] = packed[-1]._replace(usage=told)
+            usage_notices = [*packed[-1].usage, notice]
+            packed[-1] = packed[-1]._replace(usage=usage_notices)
         else:
             packed.append(Packet(action, [], [], usage=[notice]))
     return packed
--- a/tests/protocol/test_event_stream.py
+++ b/tests/protocol/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Tests of event framing."""
+"""Tests of the framing of server-sent events."""
 
 import unittest
 
@@ -18,7 +18,7 @@
         ),
         strategies.integers(1, 13),
     )
-    def test_same_events_however_cut(self, datas, width):
+    def test_events_do_not_depend_on_chunk_size(self, datas, width):
         raw = b"".join(
             event_stream.encode_event(number, data)
             for number, data in enumerate(datas)
@@ -38,7 +38,7 @@
         self.assertEqual(splitter.feed(b"data: x"), [])
         self.assertEqual(splitter.feed(b"y\n\n")[0].data, b"xy")
 
-    def test_refuses_bad_index_and_endless_event(self):
+    def test_bad_index_and_oversized_event_are_rejected(self):
         with self.assertRaises(errors.HillthreadError):
             event_stream.EventSplitter(100).feed(b"id: x\ndata: y\n\n")
         with self.assertRaises(errors.HillthreadError):
--- a/tests/protocol/test_log_story.py
+++ b/tests/protocol/test_log_story.py
@@ -1,4 +1,4 @@
-"""Tests of stories told from log lines, as hosts of the users wrote them."""
+"""Tests of request histories from log lines in the format of hosts."""
 
 import unittest
 
@@ -27,39 +27,39 @@
 
 
 class CauseTest(unittest.TestCase):
-    def cause(self, *lines):
+    def find_cause(self, *lines):
         parsed = log_story.parse_lines("h1", lines)
         return log_story.find_history(ID, parsed).cause
 
     def test_outage_that_began_long_before_is_named(self):
-        told = self.cause(
+        cause_text = self.find_cause(
             line(10.0, "store_lost", reason="reset"), refused(18.4, 8.4)
         )
-        self.assertIn("the store was lost 8.4 s before (reset)", told)
+        self.assertIn("the store was lost 8.4 s before (reset)", cause_text)
 
     def test_outage_that_began_later_is_not_the_cause(self):
-        told = self.cause(
+        cause_text = self.find_cause(
             refused(18.4, 8.4), line(19.3, "store_lost", reason="reset")
         )
-        self.assertIn("no outage of the store before it", told)
+        self.assertIn("no outage of the store before it", cause_text)
 
     def test_outage_that_was_over_is_not_the_cause(self):
-        told = self.cause(
+        cause_text = self.find_cause(
             line(10.0, "store_lost", reason="reset"),
             line(12.0, "store_back"),
             refused(18.4, 8.4),
         )
-        self.assertIn("no outage of the store before it", told)
+        self.assertIn("no outage of the store before it", cause_text)
 
     def test_outage_of_another_host_is_not_the_cause(self):
         lines = log_story.parse_lines(
             "h2", [line(10.0, "store_lost", reason="reset")]
         ) + log_story.parse_lines("h1", [refused(18.4, 8.4)])
-        told = log_story.find_history(ID, lines).cause
-        self.assertIn("no outage of the store before it", told)
+        cause_text = log_story.find_history(ID, lines).cause
+        self.assertIn("no outage of the store before it", cause_text)
 
-    def test_time_that_was_over_while_an_answer_was_passed_on(self):
-        told = self.cause(
+    def test_deadline_that_passes_while_an_answer_is_relayed(self):
+        cause_text = self.find_cause(
             line(1.0, "admitted", request=ID, path="/x"),
             line(
                 1.4,
@@ -72,12 +72,14 @@
             line(1.4, "deadline_passed", request=ID, run="ran"),
             line(1.4, "answer_broken", request=ID),
         )
-        self.assertIn("its time was over while an answer was passed on", told)
-        self.assertIn("t1 (504)", told)
+        self.assertIn(
+            "its time was over while an answer was passed on", cause_text
+        )
+        self.assertIn("t1 (504)", cause_text)
 
 
 class OtherTriesTest(unittest.TestCase):
-    def tries(self, *admitted):
+    def find_other_tries(self, *admitted):
         lines = [
             line(at, "admitted", request=request, **fields)
             for at, request, fields in admitted
@@ -85,23 +87,25 @@
         parsed = log_story.parse_lines("h1", lines)
         return log_story.find_history(ID, parsed).other_tries
 
-    def test_tries_of_one_request_share_its_digest(self):
+    def test_tries_with_the_same_digest_are_found(self):
         same = {"digest": "d1", "path": "/a", "tenant": "t"}
         other = same | {"digest": "d2"}
-        found = self.tries(
+        found = self.find_other_tries(
             (1.0, ID, same), (1.5, "r2", same), (2.0, "r3", other)
         )
         self.assertEqual(found, ["r2"])
 
-    def test_lines_without_a_digest_are_told_apart_by_path_and_tenant(self):
+    def test_lines_without_a_digest_are_compared_by_path_and_tenant(self):
         one = {"path": "/a", "tenant": "t"}
         other = {"path": "/b", "tenant": "t"}
-        found = self.tries((1.0, ID, one), (1.5, "r2", one), (2.0, "r3", other))
+        found = self.find_other_tries(
+            (1.0, ID, one), (1.5, "r2", one), (2.0, "r3", other)
+        )
         self.assertEqual(found, ["r2"])
 
 
-class QuarantinedTest(unittest.TestCase):
-    def test_held_request_is_told_with_the_targets_that_ended(self):
+class QuarantinedRequestTest(unittest.TestCase):
+    def test_history_of_held_request_names_crashed_targets(self):
         lines = [
             line(1.0, "target_ended", target="e1", open={"d1": 3}),
             line(1.0, "request_held", digest="d1", ends=3),
@@ -116,6 +120,6 @@
             ),
         ]
         parsed = log_story.parse_lines("h1", lines)
-        told = log_story.format_history(log_story.find_history(ID, parsed))
-        self.assertIn("Cause: 3 targets ended while this request", told)
-        self.assertIn("target ended (target=e1, open={'d1': 3})", told)
+        output = log_story.format_history(log_story.find_history(ID, parsed))
+        self.assertIn("Cause: 3 targets ended while this request", output)
+        self.assertIn("target ended (target=e1, open={'d1': 3})", output)
--- a/tests/protocol/test_messages.py
+++ b/tests/protocol/test_messages.py
@@ -1,4 +1,4 @@
-"""Tests of the messages between processes."""
+"""Tests of the encoding of messages between processes."""
 
 import unittest
 
@@ -56,13 +56,13 @@
             ),
         )
     )
-    def test_any_bytes_are_decoded_or_refused(self, data):
+    def test_any_bytes_are_decoded_or_rejected(self, data):
         try:
             messages.decode_message(data)
         except errors.PeerError:
             return
 
-    def test_deep_nesting_is_refused(self):
+    def test_deep_nesting_is_rejected(self):
         with self.assertRaises(errors.PeerError):
             messages.decode_message(b"\x81" * 100_000)
 
--- a/tests/protocol/test_openai.py
+++ b/tests/protocol/test_openai.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface."""
+"""Tests of the parsing and encoding of completion requests."""
 
 import json
 import unittest
@@ -17,18 +17,18 @@
 
 
 class ParseTest(unittest.TestCase):
-    def test_callers_salt_and_priority_never_pass(self):
+    def test_salt_and_priority_of_callers_are_replaced(self):
         request = parse({**CHAT, "cache_salt": "x", "priority": -9})
         body = json.loads(openai.encode_upstream_body(request, "own", 3))
         self.assertEqual((body["cache_salt"], body["priority"]), ("own", 3))
 
-    def test_usage_is_always_asked_for_in_streams(self):
+    def test_usage_is_always_requested_in_streams(self):
         request = parse({**CHAT, "stream": True})
         body = json.loads(openai.encode_upstream_body(request, "", 0))
         self.assertTrue(body["stream_options"]["include_usage"])
         self.assertFalse(request.wants_usage)
 
-    def test_continuation_carries_text_and_what_is_left(self):
+    def test_continuation_has_text_and_remaining_tokens(self):
         request = parse({**CHAT, "stream": True, "max_tokens": 10})
         body = json.loads(
             openai.encode_continuation_body(request, "", 0, "ab", 4)
@@ -40,7 +40,7 @@
         self.assertTrue(body["continue_final_message"])
         self.assertEqual(len(request.body["messages"]), 1)
 
-    def test_refuses_deep_nesting(self):
+    def test_deep_nesting_is_rejected(self):
         deep = '{"model":"m","messages":' + "[" * 40 + "]" * 40 + "}"
         with self.assertRaises(errors.RefusalError) as caught:
             openai.parse_completion(deep.encode(), True)
@@ -72,7 +72,7 @@
         ),
         strategies.booleans(),
     )  # fmt: skip
-    def test_any_body_is_parsed_or_refused(self, raw, chat):
+    def test_any_body_is_parsed_or_rejected(self, raw, chat):
         try:
             openai.parse_completion(raw, chat)
         except errors.RefusalError as refusal:
--- a/tests/protocol/test_suspect_notice.py
+++ b/tests/protocol/test_suspect_notice.py
@@ -1,4 +1,4 @@
-"""Tests of packets that tell of requests under which targets end."""
+"""Tests of packets of notices on requests that may make targets crash."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 
 
 def notices(count):
-    """Returns notices as long as they come."""
+    """Returns notices of the greatest size."""
     event = work_notice.SuspectEvent.TARGET_CRASHED
     return [
         work_notice.SuspectNotice(f"{number:016x}", 2**32 - 1 - number, event)
@@ -19,26 +19,26 @@
 
 
 class SuspectNoticeTest(unittest.TestCase):
-    def test_packet_comes_back_as_it_was(self):
-        told = notices(3)
-        packet = work_notice.Packet(_ACTION, [], [], told)
+    def test_packet_round_trip(self):
+        sent = notices(3)
+        packet = work_notice.Packet(_ACTION, [], [], sent)
         read = work_notice.decode_packet(work_notice.encode_packet(packet))
-        self.assertEqual(list(read.suspects), told)
+        self.assertEqual(list(read.suspects), sent)
         self.assertIs(
             read.suspects[0].event, work_notice.SuspectEvent.TARGET_CRASHED
         )
 
     def test_largest_packet_fits_into_a_datagram(self):
-        told = notices(work_notice.MAX_SUSPECT_NOTICES)
+        sent = notices(work_notice.MAX_SUSPECT_NOTICES)
         raw = work_notice.encode_packet(
-            work_notice.Packet(_ACTION, [], [], told)
+            work_notice.Packet(_ACTION, [], [], sent)
         )
         self.assertLessEqual(len(raw), work_notice.MAX_PACKET_BYTES)
 
-    def test_packet_of_an_earlier_release_is_read(self):
+    def test_packet_of_an_earlier_release_is_decoded(self):
         read = work_notice.decode_packet(cbor2.dumps(["t", [], []]))
         self.assertEqual(list(read.suspects), [])
 
-    def test_packet_without_suspects_is_as_an_earlier_release_reads_it(self):
+    def test_packet_without_suspects_has_the_earlier_format(self):
         raw = work_notice.encode_packet(work_notice.Packet(_ACTION, [], []))
         self.assertEqual(cbor2.loads(raw), ["t", [], []])
--- a/tests/protocol/test_work_notice.py
+++ b/tests/protocol/test_work_notice.py
@@ -1,4 +1,4 @@
-"""Tests of notices of work and of weights as CBOR."""
+"""Tests of the encoding of packets of notices."""
 
 import unittest
 
@@ -17,19 +17,19 @@
 
 
 class WorkNoticeTest(unittest.TestCase):
-    def test_packet_is_read_as_it_was_written(self):
+    def test_packet_round_trip(self):
         for action in work_notice.PacketAction:
             packet = work_notice.Packet(action, [WORK, WORK], [WEIGHTS])
             raw = work_notice.encode_packet(packet)
             self.assertEqual(work_notice.decode_packet(raw), packet)
 
-    def test_as_many_notices_as_are_allowed_fit_into_a_packet(self):
+    def test_max_work_notices_fit_into_a_packet(self):
         work = [WORK] * work_notice.MAX_WORK_NOTICES
         packet = work_notice.Packet(work_notice.PacketAction.APPLY, work, [])
         raw = work_notice.encode_packet(packet)
         self.assertLessEqual(len(raw), work_notice.MAX_PACKET_BYTES)
 
-    def test_as_many_departures_as_are_allowed_fit_into_a_packet(self):
+    def test_max_departure_notices_fit_into_a_packet(self):
         notice = work_notice.DepartureNotice(0xFFFF_FFFF)
         packet = work_notice.Packet(
             work_notice.PacketAction.FORWARD,
@@ -42,7 +42,7 @@
         decoded = work_notice.decode_packet(raw)
         self.assertEqual(decoded.departures, packet.departures)
 
-    def test_anything_else_is_refused(self):
+    def test_malformed_packets_are_rejected(self):
         for raw in (
             b"",
             b"\xff",
