--- a/hillthread/platform/attempts.py
+++ b/hillthread/platform/attempts.py
@@ -18,8 +18,8 @@
     "decode_answer",
     "decode_prompt",
     "encode_attempt",
-    "is_leaving",
     "filter_relayed_headers",
+    "is_leaving",
     "parse_whole_number",
 ]
 
--- a/hillthread/platform/journal.py
+++ b/hillthread/platform/journal.py
@@ -12,7 +12,7 @@
 from hillthread import errors
 from hillthread.state.config import payloads
 
-__all__ = ["JournalEntry", "DayResult", "Price", "decode_entry", "read_entries"]
+__all__ = ["DayResult", "JournalEntry", "Price", "decode_entry", "read_entries"]
 
 
 class Price(NamedTuple):
@@ -62,7 +62,7 @@
         command: The command that was run, such as `score`.
         site: The simulated deployment.
         reason: The reason given by whoever started the run.
-        lines: Number of source lines of the tested program.
+        lines: Number of source lines that were counted.
         days: Results of all days; aborted days are left out.
     """
 
--- a/hillthread/platform/store.py
+++ b/hillthread/platform/store.py
@@ -28,7 +28,7 @@
 
 # Connecting is retried after this time.
 _CONNECT_TIMEOUT_S = 0.5
-# The store answers in 4 ms, and up to 60 times slower when it is overloaded.
+# The store answers in 4 ms, at times up to 60 times slower.
 _CALL_TIMEOUT_S = 1.0
 # Unanswered keepalive probes after which a connection counts as lost. A wrong
 # guess costs one more call; a read held on a dead connection hides changes.
@@ -66,7 +66,7 @@
 
     def __init__(self, end: int):
         super().__init__(
-            f"The topic ends at {end}.", "Read up to there, then try again."
+            f"The topic ends at {end}.", "Read up to there, then decide again."
         )
         self.end = end
 
--- a/hillthread/protocol/log_story.py
+++ b/hillthread/protocol/log_story.py
@@ -9,11 +9,11 @@
 import msgspec
 
 __all__ = [
-    "RequestHistory",
     "LogLine",
+    "RequestHistory",
     "find_history",
-    "parse_lines",
     "format_history",
+    "parse_lines",
 ]
 
 # Lines about the host up to this long before the request may explain it.
--- a/hillthread/protocol/messages.py
+++ b/hillthread/protocol/messages.py
@@ -229,7 +229,7 @@
 
 
 class FinishedRecord(_Message, frozen=True, tag="finished"):
-    """A decision record, as JSON, that is also kept outside its host."""
+    """A decision record, as JSON, that is worth keeping outside its host."""
 
     document: bytes
 
--- a/hillthread/protocol/openai.py
+++ b/hillthread/protocol/openai.py
@@ -17,8 +17,8 @@
     "ErrorBody",
     "encode_continuation_body",
     "encode_error_body",
-    "parse_completion",
     "encode_upstream_body",
+    "parse_completion",
 ]
 
 CHAT_PATH = "/v1/chat/completions"
--- a/hillthread/protocol/work_notice.py
+++ b/hillthread/protocol/work_notice.py
@@ -30,8 +30,8 @@
     "MAX_WORK_NOTICES",
     "Packet",
     "PacketAction",
-    "SuspectNotice",
     "SuspectEvent",
+    "SuspectNotice",
     "WeightsNotice",
     "WorkNotice",
     "checksum",
@@ -69,8 +69,8 @@
 
     APPLY = "t"  # nothing else
     FORWARD = "p"  # forwards it at once to the other hosts of its data centre
-    GATHER = "g"  # forwards it, batched with other packets, to all hosts
-    DISTRIBUTE = "s"  # forwards it, batched likewise, in its data centre
+    GATHER = "g"  # forwards the notices, batched with others, to all hosts
+    DISTRIBUTE = "s"  # forwards the notices, batched, in its data centre
 
 
 class WorkNotice(NamedTuple):
