--- a/hillthread/coordination/exchange.py
+++ b/hillthread/coordination/exchange.py
@@ -24,7 +24,7 @@
     Attributes:
         request: As received.
         send: Sends the answer to the caller.
-        intent: The parsed request.
+        parsed: The parsed request.
         tenant: The tenant that sent it.
         record: The decision record, filled as the request is served.
         arrived_at: Monotonic seconds.
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -279,7 +279,7 @@
             for incarnation in range(3):
                 quarantine.record_end("digest", incarnation, now)
             quarantine_status = quarantine.status_of("digest", now)
-            scene.program.quarantine._convicted("digest", quarantine_status)
+            scene.program.quarantine._publish_hold("digest", quarantine_status)
             key = host_registry.QUARANTINE_PREFIX + "digest"
             copy = scene.program.followers["keyed.hosts"].copy
             await scene.until(lambda: key in copy.newest)
