--- a/hillthread/transport/byte_stream.py
+++ b/hillthread/transport/byte_stream.py
@@ -30,7 +30,7 @@
 
     def __init__(self):
         self.raw: socket.socket
-        self.when_ended: Callable[[], None] | None = None
+        self.on_peer_closed: Callable[[], None] | None = None
         self._transport: asyncio.Transport
         self._ahead = bytearray()
         self._is_paused = False
@@ -118,7 +118,7 @@
             raise self._lost
 
     @property
-    def has_left(self) -> bool:
+    def is_peer_closed(self) -> bool:
         """Whether the peer has ended its side, or is lost, as far as read."""
         return self._has_ended
 
@@ -130,7 +130,7 @@
         poller.register(self.raw.fileno(), select.POLLIN | select.POLLHUP)
         return bool(poller.poll(0))
 
-    def end(self) -> None:
+    def send_eof(self) -> None:
         """Ends this side; what the peer sends may still be received."""
         if not self._transport.is_closing():
             self._transport.write_eof()
@@ -146,8 +146,8 @@
     def _end(self) -> None:
         if not self._has_ended:
             self._has_ended = True
-            if self.when_ended is not None:
-                self.when_ended()
+            if self.on_peer_closed is not None:
+                self.on_peer_closed()
         self._wake()
 
     def _wake(self) -> None:
@@ -155,7 +155,7 @@
             self._receiver.set_result(None)
 
 
-async def connected(ip: str, port: int) -> ByteStream:
+async def open_connection(ip: str, port: int) -> ByteStream:
     """Returns a new connection.
 
     Raises:
@@ -166,7 +166,7 @@
     return stream
 
 
-async def accepted(raw: socket.socket) -> ByteStream:
+async def wrap_accepted(raw: socket.socket) -> ByteStream:
     """Returns a connection that was accepted."""
     loop = asyncio.get_running_loop()
     _, stream = await loop.connect_accepted_socket(ByteStream, raw)
--- a/hillthread/transport/http1.py
+++ b/hillthread/transport/http1.py
@@ -19,13 +19,13 @@
 from hillthread.transport import byte_stream
 
 __all__ = [
-    "CALLER_SILENCE_MS",
+    "CALLER_USER_TIMEOUT_MS",
     "ConnectionLostError",
     "Headers",
     "Http1Connection",
-    "PROBES",
-    "TARGET_SILENCE_MS",
-    "tune_socket",
+    "KEEPALIVE_PROBES",
+    "TARGET_USER_TIMEOUT_MS",
+    "enable_dead_peer_detection",
 ]
 
 Headers = list[tuple[bytes, bytes]]
@@ -33,12 +33,12 @@
 _LINGER_S = 0.5
 # Dead peers say nothing: unacknowledged bytes and unanswered probes tell. Two
 # lost packets in a row are sent again within this time.
-TARGET_SILENCE_MS = 1_000
-CALLER_SILENCE_MS = 5_000
+TARGET_USER_TIMEOUT_MS = 1_000
+CALLER_USER_TIMEOUT_MS = 5_000
 _PROBE_IDLE_S = 1
 _PROBE_EVERY_S = 1
 # A single probe may be lost on a bad link, seldom two in a row.
-PROBES = 2
+KEEPALIVE_PROBES = 2
 _COUNT = struct.Struct("i")
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -47,8 +47,10 @@
     """The connection was reset or timed out."""
 
 
-def tune_socket(
-    stream: byte_stream.ByteStream, silence_ms: int, probes: int = PROBES
+def enable_dead_peer_detection(
+    stream: byte_stream.ByteStream,
+    user_timeout_ms: int,
+    probes: int = KEEPALIVE_PROBES,
 ) -> None:
     """Has the kernel find out that a peer is dead.
 
@@ -59,7 +61,7 @@
     """
     raw = stream.raw
     tcp = socket.IPPROTO_TCP
-    raw.setsockopt(tcp, socket.TCP_USER_TIMEOUT, silence_ms)
+    raw.setsockopt(tcp, socket.TCP_USER_TIMEOUT, user_timeout_ms)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     raw.setsockopt(tcp, socket.TCP_KEEPIDLE, _PROBE_IDLE_S)
     raw.setsockopt(tcp, socket.TCP_KEEPINTVL, _PROBE_EVERY_S)
@@ -79,7 +81,7 @@
         self, stream: byte_stream.ByteStream, role: type, max_head_bytes: int
     ):
         self.stream = stream
-        self.machine = h11.Connection(
+        self.state_machine = h11.Connection(
             role, max_incomplete_event_size=max_head_bytes
         )
         self.sent_bytes = 0
@@ -92,10 +94,10 @@
             RemoteProtocolError: The peer sent what is not HTTP (h11's).
         """
         while True:
-            event = self.machine.next_event()
+            event = self.state_machine.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            self.machine.receive_data(await self.receive())
+            self.state_machine.receive_data(await self.receive())
 
     async def receive(self) -> bytes:
         """Returns bytes, or none when the peer ended its side.
@@ -114,7 +116,9 @@
         Raises:
             ConnectionLostError: The peer reset the connection.
         """
-        data = b"".join(self.machine.send(event) or b"" for event in events)
+        data = b"".join(
+            self.state_machine.send(event) or b"" for event in events
+        )
         if not data:
             return
         try:
@@ -154,7 +158,7 @@
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         self.stream.abort()
 
-    async def linger(self) -> None:
+    async def close_gracefully(self) -> None:
         """Closes after the peer has had time to read the last answer.
 
         Closing with unread bytes would reset the connection, and the answer
@@ -162,7 +166,7 @@
         """
         with anyio.move_on_after(_LINGER_S):
             try:
-                self.stream.end()
+                self.stream.send_eof()
                 while await self.receive():
                     pass
             except ConnectionLostError:
--- a/hillthread/transport/http1_client.py
+++ b/hillthread/transport/http1_client.py
@@ -242,11 +242,11 @@
             return True
         if self.told_close or not self.body_sent:
             return False
-        if self.machine.our_state is not h11.DONE:
+        if self.state_machine.our_state is not h11.DONE:
             return False
-        if self.machine.their_state is not h11.DONE:
+        if self.state_machine.their_state is not h11.DONE:
             return False
-        return not self.machine.trailing_data[0]
+        return not self.state_machine.trailing_data[0]
 
     def _head(self, response: h11.Response) -> AnswerHead:
         head = AnswerHead(
@@ -273,7 +273,9 @@
             then may have fallen silent, and are used no more.
     """
 
-    def __init__(self, connect_timeout_s: float, probes: int = http1.PROBES):
+    def __init__(
+        self, connect_timeout_s: float, probes: int = http1.KEEPALIVE_PROBES
+    ):
         self.connect_timeout_s = connect_timeout_s
         self.probes = probes
         self.trust_s = _LONGEST_TRUST_S
@@ -315,7 +317,7 @@
                 break
             else:
                 if connection.requests:
-                    connection.machine.start_next_cycle()
+                    connection.state_machine.start_next_cycle()
                 return connection
             await connection.close()
         return await self.open(address, reason)
@@ -402,7 +404,9 @@
                 False, f"cannot connect: {error}", refused=refused
             ) from error
         self.opened[reason] += 1
-        http1.tune_socket(stream, http1.TARGET_SILENCE_MS, self.probes)
+        http1.enable_dead_peer_detection(
+            stream, http1.TARGET_USER_TIMEOUT_MS, self.probes
+        )
         return ClientConnection(stream, address)
 
     async def _connect(self, address: str) -> byte_stream.ByteStream:
@@ -416,7 +420,7 @@
             began_at = anyio.current_time()
             try:
                 with anyio.fail_after(self.connect_timeout_s):
-                    return await byte_stream.connected(ip, port)
+                    return await byte_stream.open_connection(ip, port)
             except TimeoutError:
                 late_s = anyio.current_time() - began_at
                 if last or late_s < self.connect_timeout_s + _STANDSTILL_S:
--- a/hillthread/transport/http1_server.py
+++ b/hillthread/transport/http1_server.py
@@ -220,10 +220,10 @@
             self.unfinished = False
         if not answer.ended:
             return False
-        if self.http.machine.our_state is not h11.DONE:
-            await self.http.linger()
+        if self.http.state_machine.our_state is not h11.DONE:
+            await self.http.close_gracefully()
             return False
-        self.http.machine.start_next_cycle()
+        self.http.state_machine.start_next_cycle()
         return True
 
     async def _handle(
@@ -232,14 +232,14 @@
         """Calls the handler, and cancels it when the caller leaves."""
         stream = self.http.stream
         with anyio.CancelScope() as scope:
-            stream.when_ended = scope.cancel
+            stream.on_peer_closed = scope.cancel
             try:
-                if not stream.has_left:
+                if not stream.is_peer_closed:
                     await self.server.handler(request, answer)
             except http1.ConnectionLostError:
                 pass  # the caller left while an answer was being sent
             finally:
-                stream.when_ended = None
+                stream.on_peer_closed = None
 
     async def _has_left(self) -> bool:
         """Returns whether the caller closed before its request is served.
@@ -250,7 +250,7 @@
         if self.http.is_readable():
             for _ in range(_LOOP_TURNS):
                 await anyio.lowlevel.checkpoint()
-        return self.http.stream.has_left
+        return self.http.stream.is_peer_closed
 
     async def _read_request(self) -> CallerRequest | None:
         """Returns the next request, or None when there is none."""
@@ -260,7 +260,7 @@
             if head is None:
                 return None
             arrived = anyio.current_time()
-            if self.http.machine.they_are_waiting_for_100_continue:
+            if self.http.state_machine.they_are_waiting_for_100_continue:
                 await self.http.send(
                     [h11.InformationalResponse(status_code=100, headers=[])]
                 )
@@ -279,12 +279,12 @@
 
     async def _read_head(self) -> h11.Request | None:
         """Returns the next head, or None when the connection ends instead."""
-        machine = self.http.machine
-        if not machine.trailing_data[0]:
+        state_machine = self.http.state_machine
+        if not state_machine.trailing_data[0]:
             data = await self._receive_first()
             if not data:
                 return None
-            machine.receive_data(data)
+            state_machine.receive_data(data)
         self.unfinished = True
         with anyio.move_on_after(self.bounds.head_timeout_s):
             event = await self.http.next_event()
@@ -352,7 +352,7 @@
         headers = [(b"content-type", b"application/json")]
         try:
             await answer.send_whole(error.status, headers, body)
-            await self.http.linger()
+            await self.http.close_gracefully()
         except (h11.LocalProtocolError, http1.ConnectionLostError):
             return  # nobody is there to be told
 
@@ -492,14 +492,16 @@
     async def _serve_connection(self, raw: socket.socket) -> None:
         raw.setblocking(False)
         try:
-            stream = await byte_stream.accepted(raw)
+            stream = await byte_stream.wrap_accepted(raw)
         except OSError:
             raw.close()  # its caller has left
             return
         connection = _CallerConnection(stream, self)
         self.connections.add(connection)
         try:
-            http1.tune_socket(stream, http1.CALLER_SILENCE_MS)
+            http1.enable_dead_peer_detection(
+                stream, http1.CALLER_USER_TIMEOUT_MS
+            )
             await connection.run()
         except Exception:
             _logger.exception("connection failed", extra={"code": "internal"})
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -133,8 +133,10 @@
     def test_giving_up_does_not_cut_a_write_to_the_caller(self):
         async def slow_send(connection, events):
             """Sends with a pause between framing and writing."""
-            data = b"".join(connection.machine.send(e) or b"" for e in events)
-            if connection.machine.our_role is h11.SERVER:
+            data = b"".join(
+                connection.state_machine.send(e) or b"" for e in events
+            )
+            if connection.state_machine.our_role is h11.SERVER:
                 await anyio.sleep(0.1)
             await connection.stream.send(data)
 
--- a/tests/state/targets/test_target_list.py
+++ b/tests/state/targets/test_target_list.py
@@ -114,7 +114,7 @@
     def test_target_seen_leaving_never_gets_work_again(self, steps):
         targets = target_list.TargetList(2.0, 1.2)
         now = 0.0
-        has_left = False
+        is_peer_closed = False
         for step, pause in steps:
             now += pause
             match step:
@@ -122,7 +122,7 @@
                     targets.put(make_entry("a"))
                 case "leaving":
                     targets.put(make_entry("a", leaving=True))
-                    has_left = True
+                    is_peer_closed = True
                 case "remove":
                     targets.remove("a", now)
                 case "lost":
@@ -131,7 +131,7 @@
                     targets.store_back(now)
                 case "announced":
                     targets.mark_leaving("a")
-                    has_left = True
+                    is_peer_closed = True
             targets.expire(now)
-            if has_left:
+            if is_peer_closed:
                 self.assertEqual(self.member_names(targets), set())
--- a/tests/transport/test_byte_stream.py
+++ b/tests/transport/test_byte_stream.py
@@ -17,7 +17,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        stream = await byte_stream.connected(*listener.getsockname())
+        stream = await byte_stream.open_connection(*listener.getsockname())
         other, _ = listener.accept()
     other.settimeout(1.0)
     return stream, other
@@ -66,10 +66,10 @@
     def test_end_comes_after_what_was_sent_before_it(self):
         async def story(stream, other):
             ended = []
-            stream.when_ended = lambda: ended.append(True)
+            stream.on_peer_closed = lambda: ended.append(True)
             other.sendall(b"last")
             other.shutdown(socket.SHUT_WR)
-            await until(lambda: stream.has_left)
+            await until(lambda: stream.is_peer_closed)
             self.assertEqual(ended, [True])
             self.assertEqual(await stream.receive(), b"last")
             self.assertEqual(await stream.receive(), b"")
@@ -88,7 +88,7 @@
                 socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
             )
             other.close()
-            await until(lambda: stream.has_left)
+            await until(lambda: stream.is_peer_closed)
             self.assertEqual(await stream.receive(), b"last")
             with self.assertRaises(OSError):
                 await stream.receive()
@@ -141,7 +141,7 @@
 
             async def story():
                 for stream in (
-                    await byte_stream.accepted(accepted),
+                    await byte_stream.wrap_accepted(accepted),
                     (await pair())[0],
                 ):
                     option = (socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/transport/test_http1_client.py
+++ b/tests/transport/test_http1_client.py
@@ -139,7 +139,7 @@
                     request = http1_client.ClientRequest(
                         b"POST", b"/", [(b"host", b"any")], bytes(size)
                     )
-                    connection.machine = h11.Connection(h11.CLIENT)
+                    connection.state_machine = h11.Connection(h11.CLIENT)
                     await connection.send_request(request)
                     await anyio.sleep(0.05)
                     told.append(connection.unacknowledged_bytes())
@@ -178,7 +178,7 @@
                 probes = raw.getsockopt(tcp, socket.TCP_KEEPCNT)
                 self.assertLessEqual(idle_s + every_s * probes, 3)
                 silence_ms = raw.getsockopt(tcp, socket.TCP_USER_TIMEOUT)
-                self.assertEqual(silence_ms, http1.CALLER_SILENCE_MS)
+                self.assertEqual(silence_ms, http1.CALLER_USER_TIMEOUT_MS)
                 await connection.close()
                 tasks.cancel_scope.cancel()
 
--- a/tests/transport/test_http1_server.py
+++ b/tests/transport/test_http1_server.py
@@ -151,7 +151,7 @@
     def test_connection_that_was_lost_when_accepted_ends_nothing(self):
         async def story():
             with mock.patch.object(
-                byte_stream, "accepted", side_effect=OSError("lost")
+                byte_stream, "wrap_accepted", side_effect=OSError("lost")
             ):
                 lost = self.connect()
                 closed = await anyio.to_thread.run_sync(lost.recv, 1)
