--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -487,7 +487,7 @@
                 "targets": len(self.site.targets.entries),
                 "ejected": self.site.ejected_targets(now),
                 "connections_opened": dict(self.pool.opened),
-                "keep_told_s": dict(self.pool.keep_told),
+                "keep_told_s": dict(self.pool.keep_alive_counts),
                 "hosts": self.site.cluster_size,
                 "lease_holder": self.rollout.lease.contender.state.holder,
                 "loading": sorted(self.rollout.loading),
--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -100,10 +100,12 @@
     async def run(self) -> outcome_lib.Outcome:
         """Sends the request and returns the outcome."""
         max_idle_s = (
-            float("inf") if self.request.repeatable else self.pool.trust_s
+            float("inf")
+            if self.request.repeatable
+            else self.pool.unrepeatable_max_idle_s
         )
         try:
-            connection = await self.pool.take(
+            connection = await self.pool.acquire(
                 self.plan.target.address, max_idle_s
             )
         except http1_client.CallError as error:
@@ -112,7 +114,7 @@
         self.sent = True
         self.last_received_at = clock.now()
         self.connected_at = connection.opened_at
-        idle_s = self.last_received_at - connection.used_at
+        idle_s = self.last_received_at - connection.last_used_at
         self.monitor.attempts.add(self)
         self.connection = connection
         try:
@@ -122,7 +124,7 @@
             # of its connection.
             has_other_cause = self.give_up_reason and not self.found_silent
             if self.reused and self.meaning is None and not has_other_cause:
-                self.pool.note_dead(idle_s)
+                self.pool.record_stale(idle_s)
             self.closed_by_target = error.sent and not self.give_up_reason
             reason = self.give_up_reason or error.reason
             return self._failure_outcome(
@@ -133,7 +135,7 @@
             # Shielded so that a cancellation here does not lose an answer that
             # has arrived. Closing a connection does not block.
             with anyio.CancelScope(shield=True):
-                await self.pool.give_back(connection, self.max_idle)
+                await self.pool.release(connection, self.max_idle)
 
     def give_up(self, reason: str) -> bool:
         """Ends the attempt as lost if it can be retried; returns whether.
@@ -169,16 +171,16 @@
             caller.body,
         )
         await connection.send_request(sent)
-        if not connection.body_sent:
+        if not connection.is_body_sent:
             self.tasks.start_soon(connection.send_body, sent)
         head = await self._read_head(connection)
         self.last_received_at = clock.now()
         if self.reused:
-            self.pool.note_alive()
+            self.pool.record_reused()
         self.meaning = attempts.decode_answer(head)
         fault = self._find_fault(head, self.meaning)
         if fault:
-            connection.told_close = True
+            connection.must_close = True
             return outcome_lib.Lost(fault)
         self.callbacks.note_head(self.meaning)
         if self.meaning.not_run:
--- a/hillthread/coordination/gateway/serving/reach_monitor.py
+++ b/hillthread/coordination/gateway/serving/reach_monitor.py
@@ -177,7 +177,7 @@
         self._note_reached(target)
         self.on_reached(target.name)
         self._give_up_silent(target)
-        await self.pool.give_back(connection)
+        await self.pool.release(connection)
         if target.name in self._retry_at:
             self._forget_target(target.name)
             self.site.state(target.name).is_unreachable = False
@@ -197,7 +197,7 @@
             if not attempt.is_unacknowledged():
                 continue
             attempt.found_silent = True
-            self.pool.suspect(attempt.last_received_at)
+            self.pool.mark_suspect(attempt.last_received_at)
             given_up = attempt.give_up("its connection is silent")
             _logger.warning(
                 "connection is silent",
@@ -224,13 +224,13 @@
         began_at: float,
     ) -> None:
         now = clock.now()
-        if error.refused:
+        if error.connection_refused:
             self.on_refused(target.name)
         self.mark_unreachable(target, error.reason)
         pause_s = self._retry_pause_s.get(target.name, _FIRST_RETRY_S)
         self._retry_at[target.name] = now + pause_s * random.uniform(0.8, 1.2)
         self._retry_pause_s[target.name] = min(_MAX_RETRY_S, pause_s * 1.5)
-        if error.unheard and not self._has_reached_another(began_at):
+        if error.connect_timed_out and not self._has_reached_another(began_at):
             self._unproven[target.name] = target
             self._sweep(now, _EXTRA_PROBES)
             return
--- a/hillthread/coordination/gateway/serving/sender.py
+++ b/hillthread/coordination/gateway/serving/sender.py
@@ -241,9 +241,9 @@
     def _max_idle_connections(self, pool: objects.Pool) -> int:
         """Returns how many idle connections to a target this host may keep."""
         if not pool.max_connections:
-            return http1_client.MOST_IDLE
+            return http1_client.MAX_IDLE_CONNECTIONS
         share = pool.max_connections * _IDLE_SHARE / self.site.cluster_size
-        return max(1, min(http1_client.MOST_IDLE, int(share)))
+        return max(1, min(http1_client.MAX_IDLE_CONNECTIONS, int(share)))
 
     def _note_head(
         self,
--- a/hillthread/transport/http1_client.py
+++ b/hillthread/transport/http1_client.py
@@ -18,14 +18,14 @@
     "ClientConnection",
     "ClientRequest",
     "ConnectionPool",
-    "MOST_IDLE",
+    "MAX_IDLE_CONNECTIONS",
     "WholeAnswer",
     "call",
 ]
 
 _MAX_HEAD_BYTES = 65_536
 # Connections kept to one address, where nothing tells what its peer bears.
-MOST_IDLE = 64
+MAX_IDLE_CONNECTIONS = 64
 # How long a kept connection may have rested for a request that may not be
 # repeated; less once one turned out dead, and slowly more again.
 _LONGEST_TRUST_S = 2.5
@@ -55,14 +55,14 @@
         self,
         sent: bool,
         reason: str,
-        unheard: bool = False,
-        refused: bool = False,
+        connect_timed_out: bool = False,
+        connection_refused: bool = False,
     ):
         super().__init__(reason)
         self.sent = sent
         self.reason = reason
-        self.unheard = unheard
-        self.refused = refused
+        self.connect_timed_out = connect_timed_out
+        self.connection_refused = connection_refused
 
 
 class ClientRequest(NamedTuple):
@@ -124,12 +124,12 @@
         super().__init__(stream, h11.CLIENT, _MAX_HEAD_BYTES)
         self.address = address
         self.opened_at = anyio.current_time()
-        self.used_at = self.opened_at
-        self.keep_s = _DEFAULT_KEEP_S
+        self.last_used_at = self.opened_at
+        self.keep_alive_s = _DEFAULT_KEEP_S
         self.requests = 0
-        self.body_sent = True
-        self.sent_before = 0
-        self.told_close = False
+        self.is_body_sent = True
+        self.sent_bytes_before_request = 0
+        self.must_close = False
 
     async def send_request(self, request: ClientRequest) -> None:
         """Sends a request whole; a long body is sent by `send_body`.
@@ -138,15 +138,15 @@
             CallError: The connection was lost.
         """
         self.requests += 1
-        self.sent_before = self.sent_bytes
+        self.sent_bytes_before_request = self.sent_bytes
         head = h11.Request(
             method=request.method,
             target=request.target,
             headers=_framed(request),
         )
         events: list[h11.Event] = [head]
-        self.body_sent = len(request.body) <= _INLINE_BODY_BYTES
-        if self.body_sent:
+        self.is_body_sent = len(request.body) <= _INLINE_BODY_BYTES
+        if self.is_body_sent:
             events += [h11.Data(data=request.body)] if request.body else []
             events.append(h11.EndOfMessage())
         try:
@@ -165,7 +165,7 @@
             await self.send([h11.Data(data=request.body), h11.EndOfMessage()])
         except (http1.ConnectionLostError, h11.LocalProtocolError):
             return  # reading the answer tells what became of the request
-        self.body_sent = True
+        self.is_body_sent = True
 
     async def read_head(self) -> AnswerHead:
         """Returns the head of the final answer.
@@ -231,16 +231,16 @@
         Tells only of requests that were handed to the kernel whole: a peer
         that reads a long body slowly leaves a part of it unacknowledged.
         """
-        sent = self.sent_bytes - self.sent_before
-        if not sent or not self.body_sent:
+        sent = self.sent_bytes - self.sent_bytes_before_request
+        if not sent or not self.is_body_sent:
             return False
         return self.unacknowledged_bytes() >= sent
 
-    def can_be_kept(self) -> bool:
+    def is_reusable(self) -> bool:
         """Returns whether another request may follow on the connection."""
         if self.requests == 0:
             return True
-        if self.told_close or not self.body_sent:
+        if self.must_close or not self.is_body_sent:
             return False
         if self.state_machine.our_state is not h11.DONE:
             return False
@@ -253,8 +253,8 @@
             response.status_code,
             [(bytes(name), bytes(value)) for name, value in response.headers],
         )
-        self.keep_s = _keep_s(head.get(b"keep-alive"))
-        self.told_close = b"close" in head.get(b"connection").lower()
+        self.keep_alive_s = _keep_s(head.get(b"keep-alive"))
+        self.must_close = b"close" in head.get(b"connection").lower()
         return head
 
 
@@ -278,21 +278,21 @@
     ):
         self.connect_timeout_s = connect_timeout_s
         self.probes = probes
-        self.trust_s = _LONGEST_TRUST_S
+        self.unrepeatable_max_idle_s = _LONGEST_TRUST_S
         self.opened: collections.Counter[str] = collections.Counter()
         self.idle: dict[str, collections.deque[ClientConnection]] = {}
-        self.keep_told: collections.Counter[str] = collections.Counter()
+        self.keep_alive_counts: collections.Counter[str] = collections.Counter()
         self.suspect_before = float("-inf")
 
     def has_idle(self, address: str) -> bool:
         """Returns whether a kept connection is likely to be there."""
         now = anyio.current_time()
         kept = self.idle.get(address)
-        if not kept or kept[-1].used_at < self.suspect_before:
+        if not kept or kept[-1].last_used_at < self.suspect_before:
             return False
-        return now - kept[-1].used_at < kept[-1].keep_s
+        return now - kept[-1].last_used_at < kept[-1].keep_alive_s
 
-    async def take(
+    async def acquire(
         self, address: str, max_idle_s: float = float("inf")
     ) -> ClientConnection:
         """Returns a kept connection that rested briefly, or a new one.
@@ -304,10 +304,10 @@
         reason = "none_kept"
         while kept:
             connection = kept.pop()
-            rested_s = anyio.current_time() - connection.used_at
-            if rested_s >= connection.keep_s:
+            rested_s = anyio.current_time() - connection.last_used_at
+            if rested_s >= connection.keep_alive_s:
                 reason = "rested_too_long"
-            elif connection.used_at < self.suspect_before:
+            elif connection.last_used_at < self.suspect_before:
                 reason = "suspect"
             elif connection.is_readable():
                 reason = "closed_by_peer"
@@ -322,11 +322,13 @@
             await connection.close()
         return await self.open(address, reason)
 
-    def note_dead(self, rested_s: float) -> None:
+    def record_stale(self, rested_s: float) -> None:
         """Notes that a kept connection had died while it rested."""
-        self.trust_s = max(_LEAST_TRUST_S, min(self.trust_s, rested_s / 2.0))
+        self.unrepeatable_max_idle_s = max(
+            _LEAST_TRUST_S, min(self.unrepeatable_max_idle_s, rested_s / 2.0)
+        )
 
-    def suspect(self, since: float) -> None:
+    def mark_suspect(self, since: float) -> None:
         """Notes that a connection that rested until then was silent.
 
         Connections seldom fall silent alone, and each one costs a request
@@ -334,12 +336,14 @@
         """
         self.suspect_before = max(self.suspect_before, since)
 
-    def note_alive(self) -> None:
+    def record_reused(self) -> None:
         """Notes that a kept connection carried a request."""
-        self.trust_s = min(_LONGEST_TRUST_S, self.trust_s * _TRUST_GAIN)
+        self.unrepeatable_max_idle_s = min(
+            _LONGEST_TRUST_S, self.unrepeatable_max_idle_s * _TRUST_GAIN
+        )
 
-    async def give_back(
-        self, connection: ClientConnection, most_idle: int = MOST_IDLE
+    async def release(
+        self, connection: ClientConnection, max_idle: int = MAX_IDLE_CONNECTIONS
     ) -> None:
         """Keeps a connection whose exchange ended cleanly, else closes it.
 
@@ -348,9 +352,9 @@
             most_idle: Connections kept to its address, this one included.
         """
         kept = self.idle.setdefault(connection.address, collections.deque())
-        if connection.can_be_kept() and len(kept) < most_idle:
-            connection.used_at = anyio.current_time()
-            self.keep_told[f"{connection.keep_s:.1f}"] += 1
+        if connection.is_reusable() and len(kept) < max_idle:
+            connection.last_used_at = anyio.current_time()
+            self.keep_alive_counts[f"{connection.keep_alive_s:.1f}"] += 1
             kept.append(connection)
             return
         await connection.close()
@@ -363,14 +367,14 @@
         for connection in closing:
             await connection.close()
 
-    async def drop_rested(self, address: str, since: float) -> None:
+    async def drop_idle_since(self, address: str, since: float) -> None:
         """Closes idle connections to an address that have rested since then.
 
         Connections seldom die alone: one that was lost makes suspect those
         that have carried nothing since, not those that proved alive.
         """
         kept = self.idle.get(address, collections.deque())
-        rested = [each for each in kept if each.used_at < since]
+        rested = [each for each in kept if each.last_used_at < since]
         for connection in rested:
             kept.remove(connection)
         # Others may take and give back while these are closed.
@@ -396,12 +400,14 @@
             stream = await self._connect(address)
         except TimeoutError as error:
             raise CallError(
-                False, "connecting timed out", unheard=True
+                False, "connecting timed out", connect_timed_out=True
             ) from error
         except OSError as error:
-            refused = isinstance(error, ConnectionRefusedError)
+            connection_refused = isinstance(error, ConnectionRefusedError)
             raise CallError(
-                False, f"cannot connect: {error}", refused=refused
+                False,
+                f"cannot connect: {error}",
+                connection_refused=connection_refused,
             ) from error
         self.opened[reason] += 1
         http1.enable_dead_peer_detection(
@@ -447,21 +453,21 @@
     began_at = anyio.current_time()
     try:
         with anyio.fail_after(timeout_s):
-            connection = await pool.take(address)
+            connection = await pool.acquire(address)
             await connection.send_request(request)
-            if not connection.body_sent:
+            if not connection.is_body_sent:
                 await connection.send_body(request)
             head = await connection.read_head()
             body = await connection.read_body(max_bytes)
     except TimeoutError as error:
-        await pool.drop_rested(address, began_at)
+        await pool.drop_idle_since(address, began_at)
         raise CallError(connection is not None, "timed out") from error
     except CallError:
-        await pool.drop_rested(address, began_at)
+        await pool.drop_idle_since(address, began_at)
         raise
     finally:
         if connection is not None:
-            await pool.give_back(connection)
+            await pool.release(connection)
     return WholeAnswer(head, body)
 
 
--- a/tests/coordination/gateway/orders/test_old_weights.py
+++ b/tests/coordination/gateway/orders/test_old_weights.py
@@ -172,7 +172,7 @@
                     tasks.start_soon(scene.call, scene.prompt("/stream/x"))
             state = scene.site.state("e0")
             self.assertTrue(state.is_available(time.monotonic()))
-            self.assertGreater(scene.program.pool.trust_s, 1.0)
+            self.assertGreater(scene.program.pool.unrepeatable_max_idle_s, 1.0)
 
         scene_lib.run_scenario(scenario, engines=1)
 
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -348,13 +348,13 @@
     def test_deadline_header_has_the_time_left_when_the_request_is_sent(self):
         async def story(scene):
             pool = scene.program.pool
-            take = pool.take
+            take = pool.acquire
 
             async def take_slowly(*arguments):
                 await anyio.sleep(0.3)
                 return await take(*arguments)
 
-            pool.take = take_slowly
+            pool.acquire = take_slowly
             await scene.call(scene.request("/once/x", x_deadline_ms="1000"))
             (run,) = [r for t in scene.plain for r in t.runs]
             told_ms = int(run.request.get(b"x-deadline-ms"))
@@ -366,7 +366,7 @@
         async def story(scene):
             for target in scene.plain:
                 target.always = standin.Hang()
-            connection = await scene.pool.take(scene.program.server.address)
+            connection = await scene.pool.acquire(scene.program.server.address)
             await connection.send_request(scene.request("/once/x"))
             await scene.until(scene.runs)
             await connection.close()
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -35,7 +35,9 @@
     async def open_or_time_out(pool, address, reason):
         if reason == "trial" and address in (addresses or (address,)):
             await anyio.sleep(pool.connect_timeout_s)
-            raise http1_client.CallError(False, "a test", unheard=True)
+            raise http1_client.CallError(
+                False, "a test", connect_timed_out=True
+            )
         return await open_connection(pool, address, reason)
 
     with mock.patch.object(
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -415,11 +415,11 @@
             for target in scene.plain:
                 target.always = standin.Serve(0.6)
             address = scene.program.server.address
-            idle = await scene.pool.take(address)
+            idle = await scene.pool.acquire(address)
             await idle.send_request(scene.request("/open/x"))
             await idle.read_head()
             await idle.read_body(1000)
-            busy = await scene.pool.take(address)
+            busy = await scene.pool.acquire(address)
             await busy.send_request(scene.request("/once/x"))
             stopped = anyio.Event()
 
@@ -464,7 +464,7 @@
     def test_request_on_an_idle_connection_is_served_until_it_closes(self):
         async def scenario(scene):
             scene.program.server.stopping = True
-            connection = await scene.pool.take(scene.program.server.address)
+            connection = await scene.pool.acquire(scene.program.server.address)
             await connection.send_request(scene.request("/once/x"))
             scene.program.server.close_idle()
             head = await connection.read_head()
@@ -476,7 +476,7 @@
         async def scenario(scene):
             for target in scene.plain:
                 target.always = standin.Hang()
-            connection = await scene.pool.take(scene.program.server.address)
+            connection = await scene.pool.acquire(scene.program.server.address)
             await connection.send_request(scene.request("/once/x"))
             await scene.until(scene.runs)
             await scene.program.drain(time.monotonic())
@@ -496,7 +496,7 @@
                 await scene.program.drain(time.monotonic())
                 stopped.set()
 
-            connection = await scene.pool.take(scene.program.server.address)
+            connection = await scene.pool.acquire(scene.program.server.address)
             await connection.stream.send(
                 b"POST /once/x HTTP/1.1\r\nhost: callers.example\r\n"
                 b"x-request-id: slow\r\ncontent-length: 5\r\n\r\n"
@@ -526,7 +526,9 @@
                 b"content-length: 5000000\r\n\r\n" + b"z" * 4_300_000: b" 413 ",
             }
             for sent, status in raw.items():
-                connection = await scene.pool.take(scene.program.server.address)
+                connection = await scene.pool.acquire(
+                    scene.program.server.address
+                )
                 scene.tasks.start_soon(_send, connection, sent)
                 with anyio.fail_after(3.0):
                     answer = await connection.receive()
--- a/tests/transport/test_http1_client.py
+++ b/tests/transport/test_http1_client.py
@@ -78,10 +78,10 @@
                 tasks.start_soon(server.serve)
                 rested = await pool.open(server.address, "test")
                 proven = await pool.open(server.address, "test")
-                await pool.give_back(rested)
+                await pool.release(rested)
                 since = anyio.current_time()
-                await pool.give_back(proven)
-                await pool.drop_rested(server.address, since)
+                await pool.release(proven)
+                await pool.drop_idle_since(server.address, since)
                 self.assertEqual(list(pool.idle[server.address]), [proven])
                 await pool.close()
                 tasks.cancel_scope.cancel()
@@ -99,7 +99,7 @@
         closed = []
 
         class Connection:
-            used_at = 0.0
+            last_used_at = 0.0
 
             async def close(self):
                 closed.append(self)
@@ -111,7 +111,7 @@
 
     def test_rested_connections(self):
         async def close(pool):
-            await pool.drop_rested("a", 1.0)
+            await pool.drop_idle_since("a", 1.0)
 
         self.close_while_taken(close)
 
