--- a/hillthread/bench/bare_proxy.py
+++ b/hillthread/bench/bare_proxy.py
@@ -66,7 +66,7 @@
 
 async def _serve(settings: BareProxySettings) -> None:
     proxy = BareProxy(settings)
-    service.announce(callers=proxy.server.address)
+    service.print_addresses(callers=proxy.server.address)
     await proxy.server.serve(anyio.Event())
 
 
--- a/hillthread/coordination/admin.py
+++ b/hillthread/coordination/admin.py
@@ -263,7 +263,7 @@
             and kind in ("", each.key.kind)
             and name in ("", each.key.name)
         ]
-        return found[::-1][: request.count("limit", 50)]
+        return found[::-1][: request.int_parameter("limit", 50)]
 
     def _get_outcome(self, record_id: str) -> Any:
         outcome = self.node.keeper.configuration.outcomes.get(record_id)
@@ -286,7 +286,7 @@
             tenant,
             request.parameter("target"),
             request.parameter("reason"),
-            request.count("limit", 20),
+            request.int_parameter("limit", 20),
         )
         return await self.node.find_records(query)
 
--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -97,7 +97,7 @@
             raise target_client.AttemptError(
                 records.AttemptState.REFUSED,
                 f"refused with status {status}",
-                targets_fault=False,
+                is_target_fault=False,
             )
         if status >= 500 or status in _REFUSAL_STATUSES:
             raise target_client.AttemptError(
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -223,7 +223,7 @@
             if attempt.incarnation:
                 state = records.AttemptState.ACCEPTED
             raise target_client.AttemptError(
-                state, "deadline", targets_fault=False
+                state, "deadline", is_target_fault=False
             )
 
     def _headers(self, expected: attempt_checks.Expectation) -> dict[str, str]:
@@ -296,7 +296,7 @@
             attempt.state = error.state
         self.weights_version = attempt.weights_version or self.weights_version
         name = expected.target.name
-        if error.targets_fault:
+        if error.is_target_fault:
             self.fleet.breakers[name].record_failure(clock.now())
         epoch = self.fleet.warmth.targets[name].epoch
         if error.state is records.AttemptState.REFUSED and (
--- a/hillthread/coordination/gateway/serving/gateway.py
+++ b/hillthread/coordination/gateway/serving/gateway.py
@@ -189,7 +189,7 @@
             headers.append((names.RETRY_AFTER, b"%.3f" % retry_delay_s))
         # Makes the caller reconnect, so that the load balancer chooses a host
         # that is ready.
-        answer.closes = refusal.code == intake.NOT_READY
+        answer.closes_connection = refusal.code == intake.NOT_READY
         body = {
             "error": {
                 "code": refusal.code,
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -263,7 +263,7 @@
         async with anyio.create_task_group() as group:
 
             async def cancel_on_disconnect() -> None:
-                await exchange.request.wait_disconnect()
+                await exchange.request.wait_for_disconnect()
                 group.cancel_scope.cancel()
 
             group.start_soon(cancel_on_disconnect)
--- a/hillthread/programs/control.py
+++ b/hillthread/programs/control.py
@@ -77,7 +77,7 @@
                 tasks.start_soon(self.node.claims.run)
             async with anyio.create_task_group() as servers:
                 servers.start_soon(self.admin.serve, stop)
-                service.announce(
+                service.print_addresses(
                     links=self.links.address, admin=self.admin.address
                 )
                 await service.wait_for_signal()
--- a/hillthread/programs/router.py
+++ b/hillthread/programs/router.py
@@ -73,7 +73,7 @@
             request.parameter("tenant"),
             request.parameter("target"),
             request.parameter("reason"),
-            request.count("limit", 20),
+            request.int_parameter("limit", 20),
         )
         found = record_pages.select_records(self.router.records, wanted)
         await http_server.send_json(send, 200, documents.as_document(found))
@@ -103,7 +103,7 @@
         async with anyio.create_task_group() as servers:
             servers.start_soon(program.server.serve, program.stop)
             servers.start_soon(program.status.serve, program.stop)
-            service.announce(
+            service.print_addresses(
                 callers=program.server.address, status=program.status.address
             )
             await service.wait_for_signal()
--- a/hillthread/programs/standin.py
+++ b/hillthread/programs/standin.py
@@ -75,7 +75,7 @@
     stop = anyio.Event()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(standin.run, stop)
-        service.announce(standin=standin.server.address)
+        service.print_addresses(standin=standin.server.address)
         await service.wait_for_signal()
         stop.set()
 
--- a/hillthread/standin/engine.py
+++ b/hillthread/standin/engine.py
@@ -381,5 +381,5 @@
     request: http_server.Request, group: anyio.abc.TaskGroup
 ) -> None:
     """Cancels the tasks that serve a caller once it has left."""
-    await request.wait_disconnect()
+    await request.wait_for_disconnect()
     group.cancel_scope.cancel()
--- a/hillthread/transport/http1_server.py
+++ b/hillthread/transport/http1_server.py
@@ -105,13 +105,13 @@
         self.started = False
         self.status = 0
         self.ended = False
-        self.closes = False
+        self.closes_connection = False
 
     async def begin(
         self, status: int, headers: http1.Headers, data: bytes = b""
     ) -> None:
         """Sends the head, and the first part of the body with it."""
-        extra = [_CLOSE] if self.closes or self.is_closing() else []
+        extra = [_CLOSE] if self.closes_connection or self.is_closing() else []
         events: list[h11.Event] = [
             h11.Response(status_code=status, headers=[*headers, *extra])
         ]
@@ -134,7 +134,7 @@
         self, status: int, headers: http1.Headers, body: bytes
     ) -> None:
         """Sends a whole answer with one write."""
-        extra = [_CLOSE] if self.closes or self.is_closing() else []
+        extra = [_CLOSE] if self.closes_connection or self.is_closing() else []
         framed = [*headers, (b"content-length", b"%d" % len(body)), *extra]
         events: list[h11.Event] = [
             h11.Response(status_code=status, headers=framed)
@@ -206,7 +206,7 @@
             return False
         self.requests += 1
         if await self._has_left():
-            self.server.departed(request)
+            self.server.on_caller_left(request)
             return False
         answer = CallerAnswer(self.http, self.server.is_stopping)
         self.serving = True
@@ -346,7 +346,7 @@
 
     async def _refuse(self, error: _BadRequestError) -> None:
         """Answers a request that could not be read, then closes."""
-        self.server.refused(error.status, str(error))
+        self.server.on_bad_request(error.status, str(error))
         answer = CallerAnswer(self.http, _always)
         body = b'{"error":{"code":"bad_request"}}'
         headers = [(b"content-type", b"application/json")]
@@ -377,13 +377,13 @@
         listen: tuple[str, int],
         handler: Handler,
         bounds: Callable[[], caller_bounds.CallerBounds],
-        refused: Callable[[int, str], None],
-        departed: Callable[[CallerRequest], None] | None = None,
+        on_bad_request: Callable[[int, str], None],
+        on_caller_left: Callable[[CallerRequest], None] | None = None,
     ):
         self.handler = handler
         self.bounds = bounds
-        self.refused = refused
-        self.departed = departed or _ignore
+        self.on_bad_request = on_bad_request
+        self.on_caller_left = on_caller_left or _ignore
         self.stopping = False
         self.closes_idle = False
         self.connections: set[_CallerConnection] = set()
--- a/hillthread/transport/http_server.py
+++ b/hillthread/transport/http_server.py
@@ -52,7 +52,7 @@
         values = parse.parse_qs(self.query.decode("latin-1"))
         return values.get(name, [default])[-1]
 
-    def count(self, name: str, default: int) -> int:
+    def int_parameter(self, name: str, default: int) -> int:
         """Returns a parameter that is a whole number, or the default."""
         text = self.parameter(name)
         return int(text) if text.isdigit() else default
@@ -91,7 +91,7 @@
             if not message.get("more_body", False):
                 return b"".join(chunks)
 
-    async def wait_disconnect(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Returns when the caller has left."""
         while True:
             message = await self.receive()
--- a/hillthread/transport/service.py
+++ b/hillthread/transport/service.py
@@ -35,10 +35,10 @@
     def __init__(
         self,
         registry: prometheus_client.CollectorRegistry,
-        ready: Callable[[], str],
+        not_ready_reason: Callable[[], str],
     ):
         self.registry = registry
-        self.ready = ready
+        self.not_ready_reason = not_ready_reason
 
     async def answer(
         self, request: http_server.Request, send: http_server.Send
@@ -48,7 +48,7 @@
             case "/healthz":
                 await http_server.send_json(send, 200, {"healthy": True})
             case "/readyz":
-                reason = self.ready()
+                reason = self.not_ready_reason()
                 status = 503 if reason else 200
                 await http_server.send_json(
                     send, status, {"ready": not reason, "reason": reason}
@@ -77,7 +77,7 @@
     logging.getLogger("websockets").setLevel(logging.WARNING)
 
 
-def announce(**addresses: str) -> None:
+def print_addresses(**addresses: str) -> None:
     """Prints where the program listens, one line that scripts can read."""
     words = " ".join(f"{name}={value}" for name, value in addresses.items())
     print(f"listening {words}", flush=True)
--- a/hillthread/transport/target_client.py
+++ b/hillthread/transport/target_client.py
@@ -52,13 +52,13 @@
         self,
         state: records.AttemptState,
         reason: str,
-        targets_fault: bool = True,
+        is_target_fault: bool = True,
         resumable: bool = True,
     ):
         super().__init__(f"{state}: {reason}")
         self.state = state
         self.reason = reason
-        self.targets_fault = targets_fault
+        self.is_target_fault = is_target_fault
         self.resumable = resumable
 
 
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -64,7 +64,7 @@
                 address,
                 target.server.handler,
                 caller_bounds.CallerBounds,
-                target.server.refused,
+                target.server.on_bad_request,
             )
             scene.tasks.start_soon(again.serve)
             await scene.until(lambda: not state.is_unreachable)
--- a/tests/coordination/test_forwarder.py
+++ b/tests/coordination/test_forwarder.py
@@ -53,7 +53,7 @@
             expected.target.name = name
             refused = records.AttemptState.REFUSED
             error = target_client.AttemptError(
-                refused, "refused", targets_fault=False
+                refused, "refused", is_target_fault=False
             )
             job._record_failure(expected, error)
             return error
