--- a/hillthread/transport/byte_stream.py
+++ b/hillthread/transport/byte_stream.py
@@ -1,10 +1,10 @@
-"""Bytes of a TCP connection, read as they come.
+"""A TCP byte stream that buffers received data until it is read.
 
-asyncio's transport does the work; this keeps what it has read until somebody
-asks. The socket stays registered with the loop while nobody does: a stream that
-is registered for each read anew, as anyio's is, makes 6.7 of the 24 calls to
-the kernel that a streamed request takes (4 events, kept connections), and a
-caller who leaves has to be watched by a task of its own.
+The stream is an asyncio protocol whose socket stays registered with the event
+loop between reads. A stream that registers the socket anew for each read, as
+anyio's does, makes 6.7 of the 24 system calls of a streamed request (4 events,
+kept-alive connections), and needs an additional task to detect that the peer
+closed the connection.
 """
 
 from __future__ import annotations
@@ -14,143 +14,151 @@
 import select
 import socket
 
-__all__ = ["ByteStream", "accepted", "connected"]
+__all__ = ["ByteStream", "open_connection", "wrap_accepted"]
 
-# So much is read ahead; the peer then has to wait.
-_MOST_AHEAD_BYTES = 131_072
+# Reading pauses when this much is buffered, and TCP then slows the peer down.
+_READ_BUFFER_BYTES = 131_072
 
 
 class ByteStream(asyncio.Protocol):
-    """One connection. One task at a time may receive, and one may send.
+    """A TCP connection; at most one task may receive and one may send.
 
     Attributes:
-        raw: The socket, for its options.
-        when_ended: Called once when the peer ends its side, or is lost.
+        raw: The socket, for setting its options.
+        on_peer_closed: Called once when the peer shuts down its side or the
+            connection is lost.
     """
 
     def __init__(self):
         self.raw: socket.socket
         self.on_peer_closed: Callable[[], None] | None = None
         self._transport: asyncio.Transport
-        self._ahead = bytearray()
-        self._is_paused = False
-        self._has_ended = False
-        self._lost: Exception | None = None
+        self._read_buffer = bytearray()
+        self._is_reading_paused = False
+        self._is_peer_closed = False
+        self._connection_error: Exception | None = None
         self._receiver: asyncio.Future[None] | None = None
-        self._may_send = asyncio.Event()
-        self._may_send.set()
+        self._writable = asyncio.Event()
+        self._writable.set()
 
-    # What the transport calls.
+    # Callbacks of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins."""
+        """Stores the transport and its socket."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # What was sent is with the kernel, or its sender waits.
+        # With a write buffer limit of 0, `send` returns only when the kernel
+        # has accepted all bytes.
         transport.set_write_buffer_limits(0)
         self.raw = transport.get_extra_info("socket")
 
     def data_received(self, data: bytes) -> None:
-        """Keeps what was read."""
-        self._ahead += data
-        if len(self._ahead) >= _MOST_AHEAD_BYTES and not self._is_paused:
-            self._is_paused = True
+        """Buffers received bytes; pauses reading when the buffer is full."""
+        self._read_buffer += data
+        if (
+            len(self._read_buffer) >= _READ_BUFFER_BYTES
+            and not self._is_reading_paused
+        ):
+            self._is_reading_paused = True
             self._transport.pause_reading()
-        self._wake()
+        self._wake_receiver()
 
     def eof_received(self) -> bool:
-        """Notes that the peer has ended its side; ours stays open."""
-        self._end()
+        """Records that the peer shut down its side; this side stays open."""
+        self._record_peer_closed()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notes that the connection is gone."""
-        self._lost = exc or ConnectionAbortedError("closed here")
-        self._may_send.set()
-        self._end()
+        """Records that the connection is closed, and why."""
+        self._connection_error = exc or ConnectionAbortedError("closed here")
+        self._writable.set()
+        self._record_peer_closed()
 
     def pause_writing(self) -> None:
-        """Has senders wait."""
-        self._may_send.clear()
+        """Makes senders wait."""
+        self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Lets them go on."""
-        self._may_send.set()
+        """Lets senders continue."""
+        self._writable.set()
 
-    # What its users call.
+    # Methods for users of the stream.
 
     async def receive(self) -> bytes:
-        """Returns bytes, or none when the peer has ended its side.
+        """Returns received bytes, or none when the peer shut down its side.
 
         Raises:
             OSError: The connection was lost.
         """
-        while not self._ahead:
-            if self._lost is not None:
-                raise self._lost
-            if self._has_ended:
+        while not self._read_buffer:
+            if self._connection_error is not None:
+                raise self._connection_error
+            if self._is_peer_closed:
                 return b""
             self._receiver = asyncio.get_running_loop().create_future()
             try:
                 await self._receiver
             finally:
                 self._receiver = None
-        data = bytes(self._ahead)
-        self._ahead.clear()
-        if self._is_paused:
-            self._is_paused = False
+        data = bytes(self._read_buffer)
+        self._read_buffer.clear()
+        if self._is_reading_paused:
+            self._is_reading_paused = False
             self._transport.resume_reading()
         return data
 
     async def send(self, data: bytes) -> None:
-        """Hands bytes to the kernel, or waits while too many are held here.
+        """Sends bytes; returns when the kernel has accepted all of them.
 
         Raises:
             OSError: The connection was lost.
         """
-        if self._lost is not None:
-            raise self._lost
+        if self._connection_error is not None:
+            raise self._connection_error
         if self._transport.is_closing():
             raise ConnectionAbortedError("closed here")
         self._transport.write(data)
-        await self._may_send.wait()
-        if self._lost is not None:
-            raise self._lost
+        await self._writable.wait()
+        if self._connection_error is not None:
+            raise self._connection_error
 
     @property
     def is_peer_closed(self) -> bool:
-        """Whether the peer has ended its side, or is lost, as far as read."""
-        return self._has_ended
+        """Whether the peer shut down its side or the connection was lost.
+
+        Reflects only what the event loop has processed so far.
+        """
+        return self._is_peer_closed
 
     def is_readable(self) -> bool:
-        """Returns whether there are bytes, or the end, to be received."""
-        if self._ahead or self._has_ended or self.raw.fileno() < 0:
+        """Returns whether `receive` would return or raise immediately."""
+        if self._read_buffer or self._is_peer_closed or self.raw.fileno() < 0:
             return True
         poller = select.poll()
         poller.register(self.raw.fileno(), select.POLLIN | select.POLLHUP)
         return bool(poller.poll(0))
 
     def send_eof(self) -> None:
-        """Ends this side; what the peer sends may still be received."""
+        """Shuts down this side; bytes from the peer can still be received."""
         if not self._transport.is_closing():
             self._transport.write_eof()
 
     def close(self) -> None:
-        """Closes at once; bytes already handed over are still sent."""
+        """Closes the connection; bytes already accepted are still sent."""
         self._transport.close()
 
     def abort(self) -> None:
-        """Closes at once; bytes that are held here are lost."""
+        """Closes the connection and discards buffered bytes."""
         self._transport.abort()
 
-    def _end(self) -> None:
-        if not self._has_ended:
-            self._has_ended = True
+    def _record_peer_closed(self) -> None:
+        if not self._is_peer_closed:
+            self._is_peer_closed = True
             if self.on_peer_closed is not None:
                 self.on_peer_closed()
-        self._wake()
+        self._wake_receiver()
 
-    def _wake(self) -> None:
+    def _wake_receiver(self) -> None:
         if self._receiver is not None and not self._receiver.done():
             self._receiver.set_result(None)
 
@@ -159,7 +167,7 @@
     """Returns a new connection.
 
     Raises:
-        OSError: It did not come up.
+        OSError: The connection could not be established.
     """
     loop = asyncio.get_running_loop()
     _, stream = await loop.create_connection(ByteStream, ip, port)
@@ -167,7 +175,7 @@
 
 
 async def wrap_accepted(raw: socket.socket) -> ByteStream:
-    """Returns a connection that was accepted."""
+    """Returns a stream for a socket returned by `accept`."""
     loop = asyncio.get_running_loop()
     _, stream = await loop.connect_accepted_socket(ByteStream, raw)
     return stream
--- a/hillthread/transport/command.py
+++ b/hillthread/transport/command.py
@@ -1,4 +1,4 @@
-"""Runs command lines: typed errors become messages and exit codes."""
+"""Runs command lines and maps typed errors to messages and exit codes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run_command(command: object) -> None:
-    """Runs a command line and turns typed errors into exit codes."""
+    """Runs a command line and exits with a code for each typed error."""
     try:
         fire.Fire(command)
     except errors.NotFoundError as error:
--- a/hillthread/transport/http1.py
+++ b/hillthread/transport/http1.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 over one connection: h11's state machine on a stream of bytes.
+"""HTTP/1.1 over one connection: h11's state machine on a byte stream.
 
-hypercorn and httpcore hide what the gateway's promises rest on: whether bytes
-of a request were sent, whether an answer ended or was cut, surplus bytes after
-an answer, and when a peer closes. h11 is the parser that both use.
+hypercorn and httpcore hide facts that the gateway's guarantees depend on:
+whether bytes of a request were sent, whether an answer is complete or
+truncated, surplus bytes after an answer, and when a peer closes. h11 is the
+parser that both use.
 """
 
 from __future__ import annotations
@@ -30,17 +31,18 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-_LINGER_S = 0.5
-# Dead peers say nothing: unacknowledged bytes and unanswered probes tell. Two
-# lost packets in a row are sent again within this time.
+_GRACEFUL_CLOSE_S = 0.5
+# A dead peer is detected by unacknowledged bytes (TCP_USER_TIMEOUT) and by
+# unanswered keepalive probes. The kernel retransmits two packets lost in a row
+# within the timeout for targets.
 TARGET_USER_TIMEOUT_MS = 1_000
 CALLER_USER_TIMEOUT_MS = 5_000
-_PROBE_IDLE_S = 1
-_PROBE_EVERY_S = 1
-# A single probe may be lost on a bad link, seldom two in a row.
+_KEEPALIVE_IDLE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
+# One probe may be lost on a bad link; two in a row are rarely lost.
 KEEPALIVE_PROBES = 2
-_COUNT = struct.Struct("i")
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+_INT = struct.Struct("i")
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class ConnectionLostError(Exception):
@@ -52,29 +54,30 @@
     user_timeout_ms: int,
     probes: int = KEEPALIVE_PROBES,
 ) -> None:
-    """Has the kernel find out that a peer is dead.
+    """Sets socket options that make the kernel drop a dead connection.
 
     Args:
         stream: The connection.
-        silence_ms: How long sent bytes may stay unacknowledged.
-        probes: Probes in a row that must go unanswered on a quiet connection.
+        user_timeout_ms: How long sent bytes may stay unacknowledged.
+        probes: Consecutive unanswered keepalive probes after which an idle
+            connection is dropped.
     """
     raw = stream.raw
     tcp = socket.IPPROTO_TCP
     raw.setsockopt(tcp, socket.TCP_USER_TIMEOUT, user_timeout_ms)
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    raw.setsockopt(tcp, socket.TCP_KEEPIDLE, _PROBE_IDLE_S)
-    raw.setsockopt(tcp, socket.TCP_KEEPINTVL, _PROBE_EVERY_S)
+    raw.setsockopt(tcp, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    raw.setsockopt(tcp, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
     raw.setsockopt(tcp, socket.TCP_KEEPCNT, probes)
 
 
 class Http1Connection:
-    """One connection.
+    """An HTTP/1.1 connection, as a client or as a server.
 
     Attributes:
-        stream: The bytes.
-        machine: What has been sent and received, as HTTP.
-        sent_bytes: Bytes handed to the kernel since the connection opened.
+        stream: The underlying byte stream.
+        state_machine: h11's parser and serializer for this connection.
+        sent_bytes: Bytes accepted by the kernel since the connection opened.
     """
 
     def __init__(
@@ -90,8 +93,8 @@
         """Returns the next event of h11, reading as needed.
 
         Raises:
-            ConnectionLostError: The peer reset the connection.
-            RemoteProtocolError: The peer sent what is not HTTP (h11's).
+            ConnectionLostError: The connection was reset or timed out.
+            RemoteProtocolError: The peer violated HTTP/1.1 (raised by h11).
         """
         while True:
             event = self.state_machine.next_event()
@@ -100,10 +103,10 @@
             self.state_machine.receive_data(await self.receive())
 
     async def receive(self) -> bytes:
-        """Returns bytes, or none when the peer ended its side.
+        """Returns received bytes, or none when the peer shut down its side.
 
         Raises:
-            ConnectionLostError: The peer reset the connection.
+            ConnectionLostError: The connection was reset or timed out.
         """
         try:
             return await self.stream.receive()
@@ -114,7 +117,7 @@
         """Sends events with one write.
 
         Raises:
-            ConnectionLostError: The peer reset the connection.
+            ConnectionLostError: The connection was reset or timed out.
         """
         data = b"".join(
             self.state_machine.send(event) or b"" for event in events
@@ -130,41 +133,41 @@
     def is_readable(self) -> bool:
         """Returns whether an idle connection was closed or has surplus bytes.
 
-        Either way it must not carry another request.
+        In both cases the connection must not carry another request.
         """
         return self.stream.is_readable()
 
     def unacknowledged_bytes(self) -> int:
         """Returns how many sent bytes the peer's kernel has not acknowledged.
 
-        A peer that is slow acknowledges all the same; one that lies behind a
-        dead path, or whose connection fell silent, does not.
+        The kernel of a slow peer acknowledges bytes that the peer has not read.
+        A peer that is unreachable, or whose connection fell silent, does not.
         """
         raw = self.stream.raw
         if raw.fileno() < 0:
             return 0
-        room = bytes(_COUNT.size)
-        told = fcntl.ioctl(raw.fileno(), termios.TIOCOUTQ, room)
-        return _COUNT.unpack(told)[0]
+        buffer = bytes(_INT.size)
+        result = fcntl.ioctl(raw.fileno(), termios.TIOCOUTQ, buffer)
+        return _INT.unpack(result)[0]
 
     async def close(self) -> None:
-        """Closes at once; bytes already handed over are still sent."""
+        """Closes the connection; bytes already accepted are still sent."""
         self.stream.close()
 
     async def reset(self) -> None:
-        """Closes so that the peer sees a reset and no clean end."""
+        """Closes the connection with a reset instead of a clean end."""
         raw = self.stream.raw
         if raw.fileno() >= 0:
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
         self.stream.abort()
 
     async def close_gracefully(self) -> None:
-        """Closes after the peer has had time to read the last answer.
+        """Closes after giving the peer time to read the last answer.
 
-        Closing with unread bytes would reset the connection, and the answer
-        could be lost on its way.
+        Closing a socket with unread bytes resets the connection, and a reset
+        can discard an answer that the peer has not read yet.
         """
-        with anyio.move_on_after(_LINGER_S):
+        with anyio.move_on_after(_GRACEFUL_CLOSE_S):
             try:
                 self.stream.send_eof()
                 while await self.receive():
--- a/hillthread/transport/http1_client.py
+++ b/hillthread/transport/http1_client.py
@@ -1,4 +1,7 @@
-"""Requests to targets over kept connections; what was sent stays known."""
+"""HTTP/1.1 client with kept-alive connections to targets.
+
+Every failed call tells whether bytes of the request may have been sent.
+"""
 
 from __future__ import annotations
 
@@ -24,31 +27,34 @@
 ]
 
 _MAX_HEAD_BYTES = 65_536
-# Connections kept to one address, where nothing tells what its peer bears.
+# Idle connections kept per address when the peer's own limit is unknown.
 MAX_IDLE_CONNECTIONS = 64
-# How long a kept connection may have rested for a request that may not be
-# repeated; less once one turned out dead, and slowly more again.
-_LONGEST_TRUST_S = 2.5
-_LEAST_TRUST_S = 0.2
-_TRUST_GAIN = 1.02
-# Used up to this share of the time a peer said it keeps idle connections.
+# Bounds of the idle time after which a kept connection is not used for a
+# request that may not be repeated. The limit drops when a kept connection turns
+# out to be dead, and grows slowly with each reuse that succeeds.
+_MAX_UNREPEATABLE_IDLE_S = 2.5
+_MIN_UNREPEATABLE_IDLE_S = 0.2
+_IDLE_LIMIT_GROWTH_FACTOR = 1.02
+# Share of the peer's announced keep-alive timeout during which a connection is
+# used again.
 _KEEP_ALIVE_SHARE = 0.85
-# When the peer tells no time: shorter than what peers are seen to keep.
-_DEFAULT_KEEP_S = 4.0
-# A timer that goes off so late tells of this process, not of the peer.
-_STANDSTILL_S = 0.03
+# Assumed when the peer announces no keep-alive timeout: shorter than what peers
+# keep in practice.
+_DEFAULT_KEEP_ALIVE_S = 4.0
+# A timer that fires this late was delayed by this process, not by the peer.
+_TIMER_DELAY_S = 0.03
 _INLINE_BODY_BYTES = 16_384
-_GARBLED = (h11.RemoteProtocolError, h11.LocalProtocolError)
+_PROTOCOL_ERRORS = (h11.RemoteProtocolError, h11.LocalProtocolError)
 
 
 class CallError(Exception):
-    """A call did not bring a whole answer.
+    """A call failed before its answer was complete.
 
     Attributes:
         sent: Whether any byte of the request may have reached the peer.
-        reason: What happened, in a few words.
-        unheard: No connection came up, and nothing was heard of why.
-        refused: Nobody listens at the address.
+        reason: A short description of the failure.
+        connect_timed_out: Whether connecting timed out without an error.
+        connection_refused: Whether no process listens at the address.
     """
 
     def __init__(
@@ -69,10 +75,10 @@
     """A request to a target.
 
     Attributes:
-        method: In capitals.
+        method: Upper-case method name.
         target: Path and query.
-        headers: Without those that frame the body.
-        body: The whole body.
+        headers: All headers except those that frame the body.
+        body: The complete body.
     """
 
     method: bytes
@@ -85,15 +91,15 @@
     """The head of an answer.
 
     Attributes:
-        status: HTTP status.
-        headers: In order, names in lower case.
+        status: HTTP status code.
+        headers: Names and values in order, names in lower case.
     """
 
     status: int
     headers: http1.Headers
 
     def get(self, name: bytes) -> bytes:
-        """Returns the first value of a header, or nothing."""
+        """Returns the first value of a header, or an empty value."""
         for each, value in self.headers:
             if each == name:
                 return value
@@ -101,7 +107,7 @@
 
 
 class WholeAnswer(NamedTuple):
-    """An answer with its whole body."""
+    """An answer with its complete body."""
 
     head: AnswerHead
     body: bytes
@@ -112,12 +118,14 @@
 
     Attributes:
         address: `IP:port`.
-        opened_at: Seconds, when it came up.
-        used_at: Seconds, when its last answer ended.
-        keep_s: Seconds it may rest before it is used again.
+        opened_at: Time of the loop, in seconds, when it was established.
+        last_used_at: Time of the loop when its last answer ended.
+        keep_alive_s: Maximum idle time before it is used again.
         requests: Requests sent over it.
-        body_sent: Whether the whole request was handed to the kernel.
-        sent_before: Bytes that were sent before the last request.
+        is_body_sent: Whether the kernel accepted the whole last request.
+        sent_bytes_before_request: Value of `sent_bytes` before the last
+            request.
+        must_close: Whether it may not carry another request.
     """
 
     def __init__(self, stream, address: str):
@@ -125,14 +133,14 @@
         self.address = address
         self.opened_at = anyio.current_time()
         self.last_used_at = self.opened_at
-        self.keep_alive_s = _DEFAULT_KEEP_S
+        self.keep_alive_s = _DEFAULT_KEEP_ALIVE_S
         self.requests = 0
         self.is_body_sent = True
         self.sent_bytes_before_request = 0
         self.must_close = False
 
     async def send_request(self, request: ClientRequest) -> None:
-        """Sends a request whole; a long body is sent by `send_body`.
+        """Sends a request; a long body is left to `send_body`.
 
         Raises:
             CallError: The connection was lost.
@@ -142,7 +150,7 @@
         head = h11.Request(
             method=request.method,
             target=request.target,
-            headers=_framed(request),
+            headers=_framed_headers(request),
         )
         events: list[h11.Event] = [head]
         self.is_body_sent = len(request.body) <= _INLINE_BODY_BYTES
@@ -159,19 +167,19 @@
     async def send_body(self, request: ClientRequest) -> None:
         """Sends the body of a request whose head was sent.
 
-        An answer may come, and the peer may stop reading, before its end.
+        The peer may answer or stop reading before the whole body is sent.
         """
         try:
             await self.send([h11.Data(data=request.body), h11.EndOfMessage()])
         except (http1.ConnectionLostError, h11.LocalProtocolError):
-            return  # reading the answer tells what became of the request
+            return  # reading the answer raises the error
         self.is_body_sent = True
 
     async def read_head(self) -> AnswerHead:
         """Returns the head of the final answer.
 
         Raises:
-            CallError: No answer came, or what came is none.
+            CallError: The connection failed, or the answer is not valid HTTP.
         """
         try:
             while True:
@@ -180,19 +188,19 @@
                     case h11.InformationalResponse():
                         continue
                     case h11.Response():
-                        return self._head(event)
+                        return self._decode_head(event)
                     case _:
                         raise CallError(True, "closed before an answer")
         except http1.ConnectionLostError as error:
             raise CallError(True, f"lost before an answer: {error}") from error
-        except _GARBLED as error:
+        except _PROTOCOL_ERRORS as error:
             raise CallError(True, f"not an HTTP answer: {error}") from error
 
     async def read_part(self) -> bytes:
-        """Returns a part of the answer's body; nothing at its end.
+        """Returns the next part of the answer's body; nothing at its end.
 
         Raises:
-            CallError: The answer broke off.
+            CallError: The answer is truncated or not valid HTTP.
         """
         try:
             while True:
@@ -207,14 +215,14 @@
                         raise CallError(True, "answer broke off")
         except http1.ConnectionLostError as error:
             raise CallError(True, f"answer cut: {error}") from error
-        except _GARBLED as error:
+        except _PROTOCOL_ERRORS as error:
             raise CallError(True, f"answer broke off: {error}") from error
 
     async def read_body(self, limit: int) -> bytes:
         """Returns the whole body of an answer.
 
         Raises:
-            CallError: It broke off or is larger than `limit`.
+            CallError: The body is truncated or larger than `limit`.
         """
         parts = []
         size = 0
@@ -226,10 +234,10 @@
         return b"".join(parts)
 
     def is_request_unacknowledged(self) -> bool:
-        """Returns whether the peer's kernel has seen nothing of the request.
+        """Returns whether the peer's kernel acknowledged none of the request.
 
-        Tells only of requests that were handed to the kernel whole: a peer
-        that reads a long body slowly leaves a part of it unacknowledged.
+        Returns False until the whole request was sent: a peer that reads a long
+        body slowly leaves a part of it unacknowledged.
         """
         sent = self.sent_bytes - self.sent_bytes_before_request
         if not sent or not self.is_body_sent:
@@ -237,7 +245,7 @@
         return self.unacknowledged_bytes() >= sent
 
     def is_reusable(self) -> bool:
-        """Returns whether another request may follow on the connection."""
+        """Returns whether the connection may carry another request."""
         if self.requests == 0:
             return True
         if self.must_close or not self.is_body_sent:
@@ -248,29 +256,33 @@
             return False
         return not self.state_machine.trailing_data[0]
 
-    def _head(self, response: h11.Response) -> AnswerHead:
+    def _decode_head(self, response: h11.Response) -> AnswerHead:
         head = AnswerHead(
             response.status_code,
             [(bytes(name), bytes(value)) for name, value in response.headers],
         )
-        self.keep_alive_s = _keep_s(head.get(b"keep-alive"))
+        self.keep_alive_s = _parse_keep_alive_s(head.get(b"keep-alive"))
         self.must_close = b"close" in head.get(b"connection").lower()
         return head
 
 
 class ConnectionPool:
-    """Keeps connections to targets, the last used one first.
+    """A pool of connections to targets, reused last in, first out.
 
     Attributes:
-        connect_timeout_s: For a new connection to come up.
-        probes: How many unanswered probes of the kernel end a connection.
-        opened: Connections opened so far, by why no kept one was used.
-        idle: Connections not in use, by address, the last used last.
-        keep_told: How long peers said they keep connections, counted.
-        trust_s: A request that may not be repeated takes a kept connection
-            only if it rested less; falls when kept connections turn out dead.
-        suspect_before: Seconds; connections that have rested since before
-            then may have fallen silent, and are used no more.
+        connect_timeout_s: Timeout for establishing a connection.
+        probes: Unanswered keepalive probes after which the kernel drops a
+            connection.
+        opened: Connections opened so far, by the reason why no idle one was
+            used.
+        idle: Idle connections by address, the last used one at the end.
+        keep_alive_counts: Releases of connections, by their keep-alive time in
+            seconds.
+        unrepeatable_max_idle_s: Idle time above which a kept connection is not
+            used for a request that may not be repeated. It is lowered when a
+            kept connection turns out to be dead.
+        suspect_before: Time of the loop. Connections last used before it may
+            have fallen silent and are not used again.
     """
 
     def __init__(
@@ -278,14 +290,14 @@
     ):
         self.connect_timeout_s = connect_timeout_s
         self.probes = probes
-        self.unrepeatable_max_idle_s = _LONGEST_TRUST_S
+        self.unrepeatable_max_idle_s = _MAX_UNREPEATABLE_IDLE_S
         self.opened: collections.Counter[str] = collections.Counter()
         self.idle: dict[str, collections.deque[ClientConnection]] = {}
         self.keep_alive_counts: collections.Counter[str] = collections.Counter()
         self.suspect_before = float("-inf")
 
     def has_idle(self, address: str) -> bool:
-        """Returns whether a kept connection is likely to be there."""
+        """Returns whether `acquire` is likely to find an idle connection."""
         now = anyio.current_time()
         kept = self.idle.get(address)
         if not kept or kept[-1].last_used_at < self.suspect_before:
@@ -295,23 +307,23 @@
     async def acquire(
         self, address: str, max_idle_s: float = float("inf")
     ) -> ClientConnection:
-        """Returns a kept connection that rested briefly, or a new one.
+        """Returns a connection idle for at most `max_idle_s`, or a new one.
 
         Raises:
-            CallError: No connection came up; nothing was sent.
+            CallError: No connection could be established; nothing was sent.
         """
         kept = self.idle.get(address)
         reason = "none_kept"
         while kept:
             connection = kept.pop()
-            rested_s = anyio.current_time() - connection.last_used_at
-            if rested_s >= connection.keep_alive_s:
+            idle_s = anyio.current_time() - connection.last_used_at
+            if idle_s >= connection.keep_alive_s:
                 reason = "rested_too_long"
             elif connection.last_used_at < self.suspect_before:
                 reason = "suspect"
             elif connection.is_readable():
                 reason = "closed_by_peer"
-            elif rested_s > max_idle_s:
+            elif idle_s > max_idle_s:
                 kept.append(connection)
                 reason = "too_old_for_request"
                 break
@@ -322,34 +334,36 @@
             await connection.close()
         return await self.open(address, reason)
 
-    def record_stale(self, rested_s: float) -> None:
-        """Notes that a kept connection had died while it rested."""
+    def record_stale(self, idle_s: float) -> None:
+        """Lowers the idle limit: a connection died while it was idle."""
         self.unrepeatable_max_idle_s = max(
-            _LEAST_TRUST_S, min(self.unrepeatable_max_idle_s, rested_s / 2.0)
+            _MIN_UNREPEATABLE_IDLE_S,
+            min(self.unrepeatable_max_idle_s, idle_s / 2.0),
         )
 
     def mark_suspect(self, since: float) -> None:
-        """Notes that a connection that rested until then was silent.
+        """Stops the reuse of connections that have been idle since `since`.
 
-        Connections seldom fall silent alone, and each one costs a request
-        that waits in vain.
+        Called when such a connection was silent. Connections seldom fall silent
+        alone, and each silent one makes a request wait until it fails.
         """
         self.suspect_before = max(self.suspect_before, since)
 
     def record_reused(self) -> None:
-        """Notes that a kept connection carried a request."""
+        """Raises the idle limit: a kept connection carried a request."""
         self.unrepeatable_max_idle_s = min(
-            _LONGEST_TRUST_S, self.unrepeatable_max_idle_s * _TRUST_GAIN
+            _MAX_UNREPEATABLE_IDLE_S,
+            self.unrepeatable_max_idle_s * _IDLE_LIMIT_GROWTH_FACTOR,
         )
 
     async def release(
         self, connection: ClientConnection, max_idle: int = MAX_IDLE_CONNECTIONS
     ) -> None:
-        """Keeps a connection whose exchange ended cleanly, else closes it.
+        """Keeps a connection that is reusable, and closes it otherwise.
 
         Args:
-            connection: It.
-            most_idle: Connections kept to its address, this one included.
+            connection: The connection to release.
+            max_idle: Idle connections kept to its address, including this one.
         """
         kept = self.idle.setdefault(connection.address, collections.deque())
         if connection.is_reusable() and len(kept) < max_idle:
@@ -363,22 +377,22 @@
         """Closes all idle connections to an address."""
         kept = self.idle.pop(address, collections.deque())
         closing = list(kept)
-        kept.clear()  # others may be taking from it while these are closed
+        kept.clear()  # other tasks may acquire connections during `close`
         for connection in closing:
             await connection.close()
 
     async def drop_idle_since(self, address: str, since: float) -> None:
-        """Closes idle connections to an address that have rested since then.
+        """Closes connections to an address that have been idle since `since`.
 
-        Connections seldom die alone: one that was lost makes suspect those
-        that have carried nothing since, not those that proved alive.
+        Connections seldom die alone: after a lost call, those that have carried
+        nothing since may be dead too, unlike those that carried an answer.
         """
         kept = self.idle.get(address, collections.deque())
-        rested = [each for each in kept if each.last_used_at < since]
-        for connection in rested:
+        idle_connections = [each for each in kept if each.last_used_at < since]
+        for connection in idle_connections:
             kept.remove(connection)
-        # Others may take and give back while these are closed.
-        for connection in rested:
+        # Other tasks may acquire and release connections during `close`.
+        for connection in idle_connections:
             await connection.close()
 
     async def close(self) -> None:
@@ -391,10 +405,10 @@
 
         Args:
             address: `IP:port`.
-            reason: Why no kept one is used, for the count.
+            reason: Why no idle one is used, counted in `opened`.
 
         Raises:
-            CallError: It did not come up.
+            CallError: The connection could not be established.
         """
         try:
             stream = await self._connect(address)
@@ -416,10 +430,11 @@
         return ClientConnection(stream, address)
 
     async def _connect(self, address: str) -> byte_stream.ByteStream:
-        """Returns a connected socket.
+        """Returns a connected stream.
 
-        A time that was over because this process stood still, or had too
-        little processor time, says nothing of the peer: it is tried again.
+        A timeout that fires late because this process was paused, or had too
+        little processor time, does not show that the peer is unreachable, so
+        connecting is tried once more.
         """
         ip, port = settings_lib.split_address(address)
         for last in (False, True):
@@ -429,7 +444,7 @@
                     return await byte_stream.open_connection(ip, port)
             except TimeoutError:
                 late_s = anyio.current_time() - began_at
-                if last or late_s < self.connect_timeout_s + _STANDSTILL_S:
+                if last or late_s < self.connect_timeout_s + _TIMER_DELAY_S:
                     raise
         raise AssertionError("not reached")
 
@@ -441,13 +456,14 @@
     timeout_s: float,
     max_bytes: int,
 ) -> WholeAnswer:
-    """Returns the whole answer of a short call.
+    """Sends a request and returns its whole answer.
 
-    After one that was lost, the next call takes a new connection, or one that
-    has carried an answer meanwhile.
+    After a failed call, the next one uses a new connection, or one that has
+    carried an answer since.
 
     Raises:
-        CallError: There is none; `sent` tells whether it may have been done.
+        CallError: The call failed; `sent` tells whether the peer may have
+            processed the request.
     """
     connection = None
     began_at = anyio.current_time()
@@ -471,16 +487,16 @@
     return WholeAnswer(head, body)
 
 
-def _framed(request: ClientRequest) -> http1.Headers:
+def _framed_headers(request: ClientRequest) -> http1.Headers:
     if not request.body and request.method in (b"GET", b"HEAD"):
         return request.headers
     length = b"%d" % len(request.body)
     return [*request.headers, (b"content-length", length)]
 
 
-def _keep_s(header: bytes) -> float:
+def _parse_keep_alive_s(header: bytes) -> float:
     for term in header.split(b","):
         name, _, value = term.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return int(value) * _KEEP_ALIVE_SHARE
-    return _DEFAULT_KEEP_S
+    return _DEFAULT_KEEP_ALIVE_S
--- a/hillthread/transport/http1_server.py
+++ b/hillthread/transport/http1_server.py
@@ -1,7 +1,7 @@
-"""Serves callers over HTTP/1.1 with the outcome of every write known.
+"""HTTP/1.1 server for callers that reports the outcome of every write.
 
-One task reads each connection and serves its requests. When the caller leaves,
-the handler is cancelled.
+One task per connection reads and serves its requests. When the caller closes
+the connection, the handler of the current request is cancelled.
 """
 
 from __future__ import annotations
@@ -25,29 +25,30 @@
 __all__ = ["BrokenAnswerError", "CallerAnswer", "CallerRequest", "Server"]
 
 _BACKLOG = 1024
-# A connection that has rested too long is closed after this time more: what has
-# just come in is still served.
-_LAST_CHANCE_S = 0.05
-# After an error in accepting, until the connection dropped for it is closed.
-_ACCEPT_PAUSE_S = 0.1
-# Between two lines on such errors.
-_ACCEPT_TELL_S = 1.0
-# The loop has read what has reached this host by the second turn.
-_LOOP_TURNS = 2
-_CLOSE = (b"connection", b"close")
+# Additional time before a connection that was idle for too long is closed, so
+# that a request that has just arrived is still served.
+_CLOSE_GRACE_S = 0.05
+# Pause after an error in accepting, in which the idle connection that is closed
+# to free its descriptor ends.
+_ACCEPT_RETRY_S = 0.1
+# Least time between two log lines about such errors.
+_ACCEPT_LOG_INTERVAL_S = 1.0
+# By the second cycle, the event loop has read all data that reached this host.
+_LOOP_CYCLES = 2
+_CLOSE_HEADER = (b"connection", b"close")
 
 _logger = logging.getLogger(__name__)
 
 
 class CallerRequest(NamedTuple):
-    """A whole request of a caller.
+    """A caller's request with its complete body.
 
     Attributes:
-        method: In capitals.
+        method: Upper-case method name.
         target: Path and query as sent.
-        headers: In order, names in lower case.
-        body: Its whole body.
-        arrived: Seconds on the steady clock, when its head was read.
+        headers: Names and values in order, names in lower case.
+        body: The complete body.
+        arrived: Time of the loop, in seconds, when the head was read.
     """
 
     method: bytes
@@ -57,7 +58,7 @@
     arrived: float
 
     def get(self, name: bytes) -> bytes:
-        """Returns the first value of a header, or nothing."""
+        """Returns the first value of a header, or an empty value."""
         for each, value in self.headers:
             if each == name:
                 return value
@@ -70,14 +71,14 @@
 
 
 class BrokenAnswerError(Exception):
-    """An answer that has begun cannot be completed."""
+    """An answer that was started cannot be completed."""
 
 
 class _BadRequestError(Exception):
-    """A request that cannot be read.
+    """A request is malformed, too large or too slow.
 
     Attributes:
-        status: Of the answer.
+        status: HTTP status code of the answer.
     """
 
     def __init__(self, status: int, reason: str):
@@ -86,15 +87,15 @@
 
 
 class CallerAnswer:
-    """Where the answer to one request goes.
+    """Sends the answer to one request.
 
     Attributes:
-        started: Whether its head was sent.
-        status: Of the answer; 0 before its head was sent.
-        ended: Whether it was sent whole.
-        is_closing: Returns whether the server's connections close after
-            their answers.
-        closes: Whether this connection does.
+        started: Whether sending of the head has begun.
+        status: HTTP status code; 0 before the head is sent.
+        ended: Whether the whole answer was sent.
+        is_closing: Returns whether the server closes connections after their
+            current answer.
+        closes_connection: Whether this connection closes after the answer.
     """
 
     def __init__(
@@ -110,8 +111,12 @@
     async def begin(
         self, status: int, headers: http1.Headers, data: bytes = b""
     ) -> None:
-        """Sends the head, and the first part of the body with it."""
-        extra = [_CLOSE] if self.closes_connection or self.is_closing() else []
+        """Sends the head together with the first part of the body."""
+        extra = (
+            [_CLOSE_HEADER]
+            if self.closes_connection or self.is_closing()
+            else []
+        )
         events: list[h11.Event] = [
             h11.Response(status_code=status, headers=[*headers, *extra])
         ]
@@ -126,15 +131,19 @@
         await self.connection.send([h11.Data(data=data)])
 
     async def end(self) -> None:
-        """Ends the body; the answer is then complete."""
+        """Ends the body, which completes the answer."""
         await self.connection.send([h11.EndOfMessage()])
         self.ended = True
 
     async def send_whole(
         self, status: int, headers: http1.Headers, body: bytes
     ) -> None:
-        """Sends a whole answer with one write."""
-        extra = [_CLOSE] if self.closes_connection or self.is_closing() else []
+        """Sends a complete answer with one write."""
+        extra = (
+            [_CLOSE_HEADER]
+            if self.closes_connection or self.is_closing()
+            else []
+        )
         framed = [*headers, (b"content-length", b"%d" % len(body)), *extra]
         events: list[h11.Event] = [
             h11.Response(status_code=status, headers=framed)
@@ -156,15 +165,16 @@
 
     Attributes:
         server: The server that accepted it.
-        bounds: On the request being read.
-        http: The connection.
+        bounds: Bounds that apply to the request being read.
+        http: The HTTP connection.
         requests: Requests read so far.
-        unfinished: Whether a request has begun to come in that is not yet
-            answered.
-        serving: Whether a request is being served.
-        idle_since: Seconds, since when it waits for a request, or None.
-        idle_scope: Ends that wait, or None.
-        unwanted: It is closed as soon as it waits for a request.
+        has_unfinished_request: Whether a request was partly or wholly received
+            and is not answered yet.
+        is_serving: Whether a request is being served.
+        idle_since: Time of the loop since which it waits for a request, or
+            None.
+        idle_scope: Cancels that wait, or None.
+        must_close: Whether it is closed as soon as it waits for a request.
     """
 
     def __init__(self, stream: byte_stream.ByteStream, server: Server):
@@ -174,11 +184,11 @@
             stream, h11.SERVER, self.bounds.max_head_bytes
         )
         self.requests = 0
-        self.unfinished = False
-        self.serving = False
+        self.has_unfinished_request = False
+        self.is_serving = False
         self.idle_since: float | None = None
         self.idle_scope: anyio.CancelScope | None = None
-        self.unwanted = False
+        self.must_close = False
 
     async def run(self) -> None:
         """Serves requests until the connection ends."""
@@ -198,26 +208,26 @@
         try:
             return await self._read_and_serve()
         finally:
-            self.unfinished = False
+            self.has_unfinished_request = False
 
     async def _read_and_serve(self) -> bool:
         request = await self._read_request()
         if request is None:
             return False
         self.requests += 1
-        if await self._has_left():
+        if await self._has_caller_left():
             self.server.on_caller_left(request)
             return False
         answer = CallerAnswer(self.http, self.server.is_stopping)
-        self.serving = True
+        self.is_serving = True
         try:
             await self._handle(request, answer)
         except BrokenAnswerError:
             await self.http.reset()
             return False
         finally:
-            self.serving = False
-            self.unfinished = False
+            self.is_serving = False
+            self.has_unfinished_request = False
         if not answer.ended:
             return False
         if self.http.state_machine.our_state is not h11.DONE:
@@ -229,7 +239,7 @@
     async def _handle(
         self, request: CallerRequest, answer: CallerAnswer
     ) -> None:
-        """Calls the handler, and cancels it when the caller leaves."""
+        """Calls the handler; cancels it when the caller closes."""
         stream = self.http.stream
         with anyio.CancelScope() as scope:
             stream.on_peer_closed = scope.cancel
@@ -237,23 +247,23 @@
                 if not stream.is_peer_closed:
                     await self.server.handler(request, answer)
             except http1.ConnectionLostError:
-                pass  # the caller left while an answer was being sent
+                pass  # the caller closed while an answer was being sent
             finally:
                 stream.on_peer_closed = None
 
-    async def _has_left(self) -> bool:
+    async def _has_caller_left(self) -> bool:
         """Returns whether the caller closed before its request is served.
 
-        Callers give up requests that are not read for long; no target should
-        run those.
+        Callers give up when their request is not read for a long time. Targets
+        should not run such requests.
         """
         if self.http.is_readable():
-            for _ in range(_LOOP_TURNS):
+            for _ in range(_LOOP_CYCLES):
                 await anyio.lowlevel.checkpoint()
         return self.http.stream.is_peer_closed
 
     async def _read_request(self) -> CallerRequest | None:
-        """Returns the next request, or None when there is none."""
+        """Returns the next request, or None when the connection ends."""
         self.bounds = self.server.bounds()
         try:
             head = await self._read_head()
@@ -285,7 +295,7 @@
             if not data:
                 return None
             state_machine.receive_data(data)
-        self.unfinished = True
+        self.has_unfinished_request = True
         with anyio.move_on_after(self.bounds.head_timeout_s):
             event = await self.http.next_event()
             if isinstance(event, h11.Request):
@@ -295,32 +305,34 @@
         raise _BadRequestError(408, "the head took too long")
 
     async def _receive_first(self) -> bytes:
-        """Returns the first bytes of a request; none when there are none."""
+        """Returns the first bytes of a request, or none on close or timeout."""
         self.idle_since = anyio.current_time()
         try:
-            while (left_s := self._idle_left_s(self.idle_since)) > 0.0:
-                with anyio.move_on_after(left_s) as self.idle_scope:
+            while (
+                remaining_s := self._remaining_idle_s(self.idle_since)
+            ) > 0.0:
+                with anyio.move_on_after(remaining_s) as self.idle_scope:
                     return await self.http.receive()
-            with anyio.move_on_after(_LAST_CHANCE_S):
+            with anyio.move_on_after(_CLOSE_GRACE_S):
                 return await self.http.receive()
             return b""
         finally:
             self.idle_since = None
             self.idle_scope = None
 
-    def _idle_left_s(self, idle_since: float) -> float:
-        """Returns how long it may still wait for a request.
+    def _remaining_idle_s(self, idle_since: float) -> float:
+        """Returns how long the connection may still wait for a request.
 
-        A connection that has not carried any is about to: a server that stops
-        leaves it open, so that its caller is answered.
+        A server that stops keeps connections that have not carried a request,
+        because their callers are about to send one.
         """
-        if self.unwanted or (self.server.closes_idle and self.requests):
+        if self.must_close or (self.server.closes_idle and self.requests):
             return 0.0
         idle_s = anyio.current_time() - idle_since
         return self.server.bounds().idle_timeout_s - idle_s
 
-    def stop_waiting(self) -> None:
-        """Looks again whether it may wait for a request any longer."""
+    def recheck_idle(self) -> None:
+        """Checks again whether it may keep waiting for a request."""
         if self.idle_scope is not None:
             self.idle_scope.cancel()
 
@@ -347,14 +359,14 @@
     async def _refuse(self, error: _BadRequestError) -> None:
         """Answers a request that could not be read, then closes."""
         self.server.on_bad_request(error.status, str(error))
-        answer = CallerAnswer(self.http, _always)
+        answer = CallerAnswer(self.http, _always_closing)
         body = b'{"error":{"code":"bad_request"}}'
         headers = [(b"content-type", b"application/json")]
         try:
             await answer.send_whole(error.status, headers, body)
             await self.http.close_gracefully()
         except (h11.LocalProtocolError, http1.ConnectionLostError):
-            return  # nobody is there to be told
+            return  # the caller closed and cannot receive the answer
 
 
 class Server:
@@ -362,13 +374,16 @@
 
     Attributes:
         handler: Serves one request.
-        bounds: Returns the bounds on callers in force.
-        refused: Told of each request that could not be read.
-        departed: Told of each request whose caller left before it was served.
+        bounds: Returns the current bounds on requests and connections.
+        on_bad_request: Called with the status and the reason when a request
+            cannot be read.
+        on_caller_left: Called with each request whose caller closed the
+            connection before the request was served.
         stopping: Whether connections close after their current answer.
-        closes_idle: Whether kept connections without a request are closed.
-        connections: All that are open.
-        accept_failures: Connections that could not be accepted.
+        closes_idle: Whether idle connections that carried a request before are
+            closed.
+        connections: All open connections.
+        accept_failures: Errors in accepting connections so far.
         address: `IP:port` it listens on.
     """
 
@@ -388,45 +403,48 @@
         self.closes_idle = False
         self.connections: set[_CallerConnection] = set()
         self.accept_failures = 0
-        self._told_accept_at = float("-inf")
-        # With the protocol named, asyncio has small writes sent at once on
-        # what is accepted here.
+        self._accept_logged_at = float("-inf")
+        # asyncio sets TCP_NODELAY on accepted sockets only when the protocol is
+        # IPPROTO_TCP, and not 0.
         self.socket = socket.socket(
             socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP
         )
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(listen)
-        # Callers wait in the backlog while the process starts.
+        # The backlog holds connections of callers while the process starts.
         self.socket.listen(_BACKLOG)
         ip, port = self.socket.getsockname()
         self.address = f"{ip}:{port}"
 
     @property
     def serving(self) -> int:
-        """Requests being served."""
-        return sum(each.serving for each in self.connections)
+        """Number of requests being served."""
+        return sum(each.is_serving for each in self.connections)
 
     @property
     def unfinished(self) -> int:
-        """Requests that have begun to come in and are not yet answered."""
-        return sum(each.unfinished for each in self.connections)
+        """Number of requests partly or wholly received and not yet answered."""
+        return sum(each.has_unfinished_request for each in self.connections)
 
     def is_stopping(self) -> bool:
         """Returns whether connections close after their current answer."""
         return self.stopping
 
     def close_idle(self) -> None:
-        """Closes kept connections without a request, now and from now on."""
+        """Closes idle connections now, and later ones when they become idle.
+
+        Connections that have not carried a request yet stay open.
+        """
         self.closes_idle = True
         for connection in self.connections:
-            connection.stop_waiting()
+            connection.recheck_idle()
 
     async def serve(self, tasks: anyio.abc.TaskGroup | None = None) -> None:
         """Accepts connections until cancelled.
 
         Args:
-            tasks: Where connections are served, so that they outlive the
-                listening socket; None ends them with it.
+            tasks: Task group for the connections, which then outlive the
+                listening socket; with None they end together with it.
         """
         self.socket.setblocking(False)
         with self.socket:
@@ -434,7 +452,7 @@
                 await self._accept_all(tasks or own_tasks)
 
     async def _accept_all(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Accepts connections; an error never ends the server."""
+        """Accepts connections until cancelled; continues after errors."""
         loop = asyncio.get_running_loop()
         while True:
             failed: asyncio.Future[OSError] = loop.create_future()
@@ -443,30 +461,30 @@
                 error = await failed
             finally:
                 loop.remove_reader(self.socket)
-            self._tell_accept_failed(error)
-            self._drop_longest_idle()
-            await anyio.sleep(_ACCEPT_PAUSE_S)
+            self._log_accept_failure(error)
+            self._close_longest_idle()
+            await anyio.sleep(_ACCEPT_RETRY_S)
 
     def _accept(
         self, tasks: anyio.abc.TaskGroup, failed: asyncio.Future[OSError]
     ) -> None:
-        """Accepts one connection; the loop calls again while there are more."""
+        """Accepts one connection; called again while more are pending."""
         try:
             raw, _ = self.socket.accept()
         except (BlockingIOError, ConnectionAbortedError):
-            return  # its caller has left
+            return  # the caller closed before the connection was accepted
         except OSError as error:
             if not failed.done():
                 failed.set_result(error)
             return
         tasks.start_soon(self._serve_connection, raw)
 
-    def _tell_accept_failed(self, error: OSError) -> None:
+    def _log_accept_failure(self, error: OSError) -> None:
         now = anyio.current_time()
         self.accept_failures += 1
-        if now - self._told_accept_at < _ACCEPT_TELL_S:
+        if now - self._accept_logged_at < _ACCEPT_LOG_INTERVAL_S:
             return
-        self._told_accept_at = now
+        self._accept_logged_at = now
         _logger.warning(
             "cannot accept connections",
             extra={
@@ -477,24 +495,24 @@
             },
         )
 
-    def _drop_longest_idle(self) -> None:
-        """Closes the connection that rests longest: its place is needed."""
+    def _close_longest_idle(self) -> None:
+        """Closes the longest idle connection to free its descriptor."""
         idle = {
             each: each.idle_since
             for each in self.connections
-            if each.idle_since is not None and not each.unwanted
+            if each.idle_since is not None and not each.must_close
         }
         if idle:
             longest = min(idle, key=idle.__getitem__)
-            longest.unwanted = True
-            longest.stop_waiting()
+            longest.must_close = True
+            longest.recheck_idle()
 
     async def _serve_connection(self, raw: socket.socket) -> None:
         raw.setblocking(False)
         try:
             stream = await byte_stream.wrap_accepted(raw)
         except OSError:
-            raw.close()  # its caller has left
+            raw.close()  # the caller has closed
             return
         connection = _CallerConnection(stream, self)
         self.connections.add(connection)
@@ -510,18 +528,21 @@
             self.connections.discard(connection)
 
 
-def _always() -> bool:
-    """Stands for a connection that closes after its answer."""
+def _always_closing() -> bool:
+    """Returns True: the connection closes after its answer."""
     return True
 
 
 def _ignore(request: CallerRequest) -> None:
-    """Stands for nobody who wants to know of callers that left."""
+    """Ignores a request whose caller has closed the connection."""
     del request
 
 
 def _check_framing(head: h11.Request) -> None:
-    """Refuses a body with two lengths: targets may read it another way."""
+    """Refuses a request with both a content length and chunked encoding.
+
+    A target could choose the other one of the two and see another request.
+    """
     names = [bytes(name) for name, _ in head.headers]
     if b"content-length" in names and b"transfer-encoding" in names:
         raise _BadRequestError(400, "both a length and chunks")
--- a/hillthread/transport/http_server.py
+++ b/hillthread/transport/http_server.py
@@ -1,4 +1,4 @@
-"""Serving HTTP with hypercorn: sockets, requests and answers."""
+"""HTTP server on top of hypercorn: sockets, requests and answers."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
     """One HTTP request.
 
     Attributes:
-        method: In capitals.
-        path: Without the query.
+        method: Upper-case method name.
+        path: Path without the query.
         query: The raw query string.
-        headers: Names in lower case; the last of a repeated one.
+        headers: Values by lower-case name; a repeated header has its last one.
     """
 
     def __init__(self, scope: Mapping[str, Any], receive: Receive):
@@ -48,22 +48,25 @@
         self.receive = receive
 
     def parameter(self, name: str, default: str = "") -> str:
-        """Returns one parameter of the query."""
+        """Returns a query parameter, or the default when it is missing."""
         values = parse.parse_qs(self.query.decode("latin-1"))
         return values.get(name, [default])[-1]
 
     def int_parameter(self, name: str, default: int) -> int:
-        """Returns a parameter that is a whole number, or the default."""
+        """Returns a query parameter as an integer, or the default.
+
+        The default also replaces a value that is not a whole number.
+        """
         text = self.parameter(name)
         return int(text) if text.isdigit() else default
 
     def bearer_key(self) -> str | None:
-        """Returns the bearer key the request carries; None without one."""
+        """Returns the key of the `Authorization: Bearer` header, or None."""
         scheme, _, key = self.headers.get("authorization", "").partition(" ")
         return key.strip() if scheme.lower() == "bearer" else None
 
     def has_bearer(self, key: str) -> bool:
-        """Returns whether the request carries a certain bearer key."""
+        """Returns whether the request carries the given bearer key."""
         expected = f"Bearer {key}".encode()
         given = self.headers.get("authorization", "").encode()
         return hmac.compare_digest(expected, given)
@@ -72,10 +75,11 @@
         """Returns the whole body.
 
         Raises:
-            RefusalError: It is larger than `limit`, or the caller left.
+            RefusalError: The body is larger than `limit`, or the caller closed
+                the connection.
         """
         if int(self.headers.get("content-length", "0")) > limit:
-            raise _too_large(limit)
+            raise _body_too_large(limit)
         chunks = []
         size = 0
         while True:
@@ -87,12 +91,12 @@
             chunks.append(message.get("body", b""))
             size += len(chunks[-1])
             if size > limit:
-                raise _too_large(limit)
+                raise _body_too_large(limit)
             if not message.get("more_body", False):
                 return b"".join(chunks)
 
     async def wait_for_disconnect(self) -> None:
-        """Returns when the caller has left."""
+        """Returns when the caller has closed the connection."""
         while True:
             message = await self.receive()
             if message["type"] == "http.disconnect":
@@ -106,7 +110,7 @@
     """One listening socket and the handler of its requests.
 
     Attributes:
-        address: `IP:port` it listens on, with the port the system chose.
+        address: `IP:port` it listens on, with the port assigned by the system.
     """
 
     def __init__(
@@ -122,13 +126,13 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind(settings_lib.split_address(listen))
-        # Programs tell their addresses before the task of `serve` runs.
+        # Programs print their addresses before the task of `serve` runs.
         self.socket.listen(_BACKLOG)
         ip, port = self.socket.getsockname()
         self.address = f"{ip}:{port}"
 
     async def serve(self, stop: anyio.Event) -> None:
-        """Serves until `stop` is set and open requests have ended."""
+        """Serves until `stop` is set and open requests are complete."""
         self.socket.setblocking(False)
         config = self._config()
         await hypercorn.asyncio.serve(
@@ -141,7 +145,7 @@
     async def _application(
         self, scope: Mapping[str, Any], receive: Receive, send: Send
     ) -> None:
-        """Passes on a request, in the ASGI convention."""
+        """Calls the handler for a request; an ASGI application."""
         if scope["type"] == "lifespan":
             await _accept_lifespan(receive, send)
         elif scope["type"] == "http":
@@ -155,7 +159,8 @@
         config.accesslog = None
         config.errorlog = None
         config.h11_max_incomplete_size = self.limits.max_header_bytes
-        config.read_timeout = None  # it would cut streams of silent callers
+        # A read timeout would cut answers to callers that send nothing more.
+        config.read_timeout = None
         config.keep_alive_timeout = self.limits.keep_alive_s
         config.graceful_timeout = 1.0
         config.alpn_protocols = ["http/1.1"]
@@ -172,7 +177,7 @@
     content_type: bytes = b"application/json",
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> None:
-    """Sends a whole answer."""
+    """Sends a complete answer."""
     fixed = (
         (b"content-type", content_type),
         (b"content-length", str(len(body)).encode()),
@@ -188,7 +193,7 @@
 
 
 async def send_json(send: Send, status: int, value: Any) -> None:
-    """Sends a value as JSON."""
+    """Sends a complete answer with a JSON body."""
     await send_body(send, status, msgspec.json.encode(value))
 
 
@@ -198,7 +203,7 @@
     request_id: str,
     headers: tuple[tuple[bytes, bytes], ...] = (),
 ) -> None:
-    """Sends a typed error in the callers' usual shape."""
+    """Sends a typed error in the error format of the OpenAI API."""
     extra = [(b"x-request-id", request_id.encode()), *headers]
     retry_after = openai.format_retry_after(refusal)
     if retry_after is not None:
@@ -212,7 +217,7 @@
 
 
 async def _accept_lifespan(receive: Receive, send: Send) -> None:
-    """Answers the server's start and stop messages."""
+    """Acknowledges the ASGI lifespan messages for startup and shutdown."""
     while True:
         message = await receive()
         await send({"type": message["type"] + ".complete"})
@@ -220,7 +225,7 @@
             return
 
 
-def _too_large(limit: int) -> errors.RefusalError:
+def _body_too_large(limit: int) -> errors.RefusalError:
     return errors.RefusalError(
         "body_too_large",
         413,
--- a/hillthread/transport/link.py
+++ b/hillthread/transport/link.py
@@ -1,4 +1,4 @@
-"""Authenticated links between hillthread's own processes: websockets."""
+"""Authenticated websocket links between hillthread's own processes."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 __all__ = ["Identity", "Link", "LinkServer", "connect"]
 
-_HANDSHAKE_S = 3.0
+_HANDSHAKE_TIMEOUT_S = 3.0
 _NONCE_BYTES = 16
-_QUEUE = 64
+_MAX_QUEUED_MESSAGES = 64
 _WEBSOCKET_OPTIONS: dict[str, Any] = {
     "compression": None,
     "max_size": messages.MAX_MESSAGE_BYTES,
-    "max_queue": _QUEUE,
+    "max_queue": _MAX_QUEUED_MESSAGES,
     "ping_interval": None,
-    "open_timeout": _HANDSHAKE_S,
+    "open_timeout": _HANDSHAKE_TIMEOUT_S,
     "close_timeout": 0.5,
 }
 
 
 class Identity(NamedTuple):
-    """Who a process is.
+    """The identity of a process in the handshake.
 
     Attributes:
         role: `router` or `control`.
         host: The host's name.
-        data_centre: Its data centre.
-        incarnation: New with each start of the process.
+        data_centre: The host's data centre.
+        incarnation: Different for each start of the process.
     """
 
     role: str
@@ -55,17 +55,17 @@
     """One open link to an authenticated process.
 
     Attributes:
-        peer: Who is at the other end.
+        peer: Identity of the process at the other end.
         count_bytes: Called with `sent` or `received` and a message's size.
     """
 
     def __init__(self, connection: Any, peer: Identity):
         self.connection = connection
         self.peer = peer
-        self.count_bytes: Callable[[str, int], None] = _count_nothing
+        self.count_bytes: Callable[[str, int], None] = _ignore_bytes
 
     async def send(self, message: messages.Message) -> None:
-        """Sends a message; waits while the other end is slow.
+        """Sends a message; waits while the peer is slow to read.
 
         Raises:
             PeerError: The link is closed.
@@ -73,7 +73,7 @@
         await self.send_encoded(messages.encode_message(message))
 
     async def send_encoded(self, data: bytes) -> None:
-        """Sends an encoded message; waits while the other end is slow.
+        """Sends an encoded message; waits while the peer is slow to read.
 
         Raises:
             PeerError: The link is closed.
@@ -82,13 +82,13 @@
         try:
             await self.connection.send(data)
         except websockets.ConnectionClosed as error:
-            raise _closed(self.peer.host) from error
+            raise _link_closed_error(self.peer.host) from error
 
     async def receive(self) -> AsyncIterator[messages.Message]:
         """Yields messages until the link is closed.
 
         Raises:
-            PeerError: A message does not decode.
+            PeerError: A message cannot be decoded.
         """
         try:
             async for data in self.connection:
@@ -107,11 +107,11 @@
 
 
 class LinkServer:
-    """Accepts links.
+    """Accepts links from other processes.
 
     Attributes:
-        address: Where it listens, with the port the system chose.
-        refused: Connections that failed the handshake.
+        address: `IP:port` it listens on, with the port assigned by the system.
+        refused: Number of connections that failed the handshake.
     """
 
     def __init__(
@@ -136,7 +136,7 @@
 
     async def _accept(self, connection: Any) -> None:
         try:
-            with anyio.fail_after(_HANDSHAKE_S):
+            with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
                 peer = await self._handshake(connection)
         except (errors.PeerError, TimeoutError, websockets.ConnectionClosed):
             self.refused += 1
@@ -167,27 +167,28 @@
     """Returns a link to the process that listens at an address.
 
     Raises:
-        PeerError: It cannot be reached or does not prove the secret.
+        PeerError: The process cannot be reached, or does not prove that it
+            knows the secret.
     """
     try:
         connection = await websockets_client.connect(
             f"ws://{address}", proxy=None, **_WEBSOCKET_OPTIONS
         )
     except (OSError, TimeoutError, websockets.WebSocketException) as error:
-        raise _closed(address) from error
+        raise _link_closed_error(address) from error
     try:
-        with anyio.fail_after(_HANDSHAKE_S):
-            peer = await _introduce(connection, identity, secret)
+        with anyio.fail_after(_HANDSHAKE_TIMEOUT_S):
+            peer = await _authenticate(connection, identity, secret)
     except (TimeoutError, websockets.ConnectionClosed) as error:
         await connection.close()
-        raise _closed(address) from error
+        raise _link_closed_error(address) from error
     except errors.PeerError:
         await connection.close()
         raise
     return Link(connection, peer)
 
 
-async def _introduce(
+async def _authenticate(
     connection: Any, identity: Identity, secret: str
 ) -> Identity:
     challenge = _expect(await connection.recv(), messages.Challenge)
@@ -221,7 +222,7 @@
 def _check_version(version: int) -> None:
     if version != messages.VERSION:
         raise errors.PeerError(
-            f"The other end speaks version {version}, this one "
+            f"The peer uses protocol version {version}, this process "
             f"{messages.VERSION}.",
             "Upgrade the older host.",
         )
@@ -238,12 +239,12 @@
         )
 
 
-def _count_nothing(direction: str, count: int) -> None:
+def _ignore_bytes(direction: str, count: int) -> None:
     del direction, count
 
 
-def _closed(where: str) -> errors.PeerError:
+def _link_closed_error(peer_name: str) -> errors.PeerError:
     return errors.PeerError(
-        f"The link to {where} is closed or cannot be opened.",
+        f"The link to {peer_name} is closed or cannot be opened.",
         "Check that the process runs and can be reached.",
     )
--- a/hillthread/transport/log_client.py
+++ b/hillthread/transport/log_client.py
@@ -1,4 +1,4 @@
-"""The platform's log over HTTP: appends and reads."""
+"""HTTP client of the platform's log: appends and reads records."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class LogPage(NamedTuple):
-    """A part of a stream.
+    """Consecutive records of a stream.
 
     Attributes:
-        first_offset: The oldest record retained.
-        next_offset: One past the newest record.
-        records: In order, without a gap.
+        first_offset: Offset of the oldest retained record.
+        next_offset: One past the offset of the newest record.
+        records: In ascending order of offset, without gaps.
     """
 
     first_offset: int
@@ -36,10 +36,10 @@
 
 
 class TruncatedError(errors.LogError):
-    """The wanted records are no longer retained.
+    """The requested records are no longer retained.
 
     Attributes:
-        first_offset: The oldest record retained.
+        first_offset: Offset of the oldest retained record.
     """
 
     code = "log_truncated"
@@ -72,10 +72,10 @@
 
 
 class LogClient:
-    """Reads and appends.
+    """Appends to and reads from the streams of the log.
 
     Attributes:
-        address: Of the log service.
+        address: `IP:port` of the log service.
     """
 
     def __init__(self, address: str):
@@ -101,7 +101,7 @@
                 f"/streams/{stream}/records", json=body
             )
         except httpx.ConnectError as error:
-            raise _unreachable(error) from error
+            raise _unreachable_error(error) from error
         except httpx.HTTPError as error:
             raise errors.UnknownOutcomeError(
                 "The log's answer to an append was lost.",
@@ -124,16 +124,16 @@
     async def read(
         self, stream: str, start: int, limit: int = 500, wait_s: float = 0.0
     ) -> LogPage:
-        """Returns records from `start` on.
+        """Returns records from offset `start` on.
 
         Args:
-            stream: Its name.
-            start: Offset of the first wanted record.
-            limit: Records at most.
-            wait_s: How long the log may wait for a record to come.
+            stream: Name of the stream.
+            start: Offset of the first record to return.
+            limit: Maximum number of records.
+            wait_s: How long the log may wait for a new record.
 
         Raises:
-            TruncatedError: `start` is no longer retained.
+            TruncatedError: The record at `start` is no longer retained.
             LogError: The log cannot be read.
         """
         try:
@@ -143,16 +143,16 @@
                 timeout=_TIMEOUT_S + wait_s,
             )
         except httpx.HTTPError as error:
-            raise _unreachable(error) from error
+            raise _unreachable_error(error) from error
         try:
-            return self._page(response)
+            return self._decode_page(response)
         except msgspec.DecodeError as error:
-            raise _unreachable(error) from error
+            raise _unreachable_error(error) from error
 
-    def _page(self, response: httpx.Response) -> LogPage:
+    def _decode_page(self, response: httpx.Response) -> LogPage:
         if response.status_code == 410:
-            told = msgspec.json.decode(response.content, type=_Truncated)
-            raise TruncatedError(told.first_offset)
+            truncated = msgspec.json.decode(response.content, type=_Truncated)
+            raise TruncatedError(truncated.first_offset)
         if response.status_code != 200:
             raise errors.LogError(
                 f"The log answered with status {response.status_code}.",
@@ -169,8 +169,8 @@
         )
 
 
-def _unreachable(error: Exception) -> errors.LogError:
+def _unreachable_error(error: Exception) -> errors.LogError:
     return errors.LogError(
         f"The log cannot be reached: {type(error).__name__}.",
-        "Check the platform; the configuration in force stays.",
+        "Check the platform; the current configuration stays in effect.",
     )
--- a/hillthread/transport/log_writer.py
+++ b/hillthread/transport/log_writer.py
@@ -1,7 +1,8 @@
-"""Writes log lines without ever holding up the loop.
+"""A logging handler that never blocks the event loop.
 
-Lines wait in a bounded buffer. When whoever reads the pipe is slow, lines are
-dropped and counted, and one line says how many once there is room again.
+Lines are kept in a bounded buffer. When the reader of the pipe is too slow,
+lines are dropped and counted. Once the buffer has been written, a log line
+reports how many were dropped.
 """
 
 from __future__ import annotations
@@ -16,26 +17,26 @@
 
 __all__ = ["BufferedLogHandler"]
 
-_FLUSH_EVERY_S = 0.2
-_WRITE_BYTES = 65_536
-# Times in lines are told to a tenth of a millisecond.
+_FLUSH_INTERVAL_S = 0.2
+_CHUNK_BYTES = 65_536
+# Digits after the decimal point of a time in seconds: a tenth of a millisecond.
 _TIME_DIGITS = 4
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
-class _BriefFormatter(jsonlogger.JsonFormatter):
-    """Leaves out what a line need not say.
+class _CompactFormatter(jsonlogger.JsonFormatter):
+    """Formats records as JSON without redundant or empty fields.
 
-    Whoever keeps logs keeps a bounded number of bytes: each one spared makes
-    room for an older line.
+    Log storage is bounded in bytes, so shorter lines allow older lines to be
+    retained.
     """
 
     def __init__(self):
         super().__init__("%(created)f %(levelname)s %(message)s")
 
     def process_log_record(self, log_data: dict) -> dict:
-        """Returns a line's fields without repetitions and unknown values."""
+        """Returns the fields without None and without a repeated message."""
         fields = {k: v for k, v in log_data.items() if v is not None}
         fields["created"] = round(fields["created"], _TIME_DIGITS)
         if fields.get("message") == fields.get("event"):
@@ -43,19 +44,19 @@
         return fields
 
     def jsonify_log_record(self, log_data: dict) -> str:
-        """Returns a line as JSON without spaces."""
+        """Returns the fields as JSON without spaces."""
         return _encoder.encode(log_data).decode()
 
 
 class BufferedLogHandler(logging.Handler):
-    """Formats records as JSON lines and writes them when it can.
+    """Buffers records as JSON lines and writes them without blocking.
 
     Attributes:
-        descriptor: Of the file or pipe; it is made non-blocking.
-        max_bytes: Bytes that wait at most.
+        descriptor: Of the file or pipe to write to; it is made non-blocking.
+        max_bytes: Maximum size of the buffer.
         dropped: Lines dropped so far.
-        written_lines: Lines handed over so far.
-        written_bytes: Bytes handed over so far.
+        written_lines: Lines written so far.
+        written_bytes: Bytes written so far.
     """
 
     def __init__(self, descriptor: int, max_bytes: int = 1_048_576):
@@ -65,29 +66,29 @@
         self.dropped = 0
         self.written_lines = 0
         self.written_bytes = 0
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._waiting_bytes = 0
-        self._dropped_untold = 0
-        self.setFormatter(_BriefFormatter())
+        self._lines: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
+        self._unreported_drops = 0
+        self.setFormatter(_CompactFormatter())
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Takes in a record; drops it when the buffer is full."""
+        """Buffers a record, or drops it when the buffer is full."""
         try:
             line = self.format(record).encode() + b"\n"
         except Exception:
             self.handleError(record)
             return
-        if self._waiting_bytes + len(line) > self.max_bytes:
+        if self._buffered_bytes + len(line) > self.max_bytes:
             self.dropped += 1
-            self._dropped_untold += 1
+            self._unreported_drops += 1
             return
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
+        self._lines.append(line)
+        self._buffered_bytes += len(line)
 
     def flush(self) -> None:
-        """Writes what the reader takes now."""
-        while self._waiting:
+        """Writes buffered lines until the buffer is empty or a write blocks."""
+        while self._lines:
             chunk = self._take_chunk()
             try:
                 done = os.write(self.descriptor, chunk)
@@ -97,14 +98,14 @@
                 return self._discard(chunk)
             self.written_bytes += done
             if done < len(chunk):
-                return self._put_back(chunk[done:])
-        return self._tell_dropped()
+                return self._requeue(chunk[done:])
+        return self._report_drops()
 
     async def run(self) -> None:
-        """Writes until cancelled, then what is left."""
+        """Flushes periodically until cancelled, then once more."""
         try:
             while True:
-                await anyio.sleep(_FLUSH_EVERY_S)
+                await anyio.sleep(_FLUSH_INTERVAL_S)
                 self.flush()
         finally:
             self.flush()
@@ -112,25 +113,25 @@
     def _take_chunk(self) -> bytes:
         parts = []
         size = 0
-        while self._waiting and size < _WRITE_BYTES:
-            parts.append(self._waiting.popleft())
+        while self._lines and size < _CHUNK_BYTES:
+            parts.append(self._lines.popleft())
             size += len(parts[-1])
         self.written_lines += len(parts)
-        self._waiting_bytes -= size
+        self._buffered_bytes -= size
         return b"".join(parts)
 
-    def _put_back(self, rest: bytes) -> None:
-        self._waiting.appendleft(rest)
-        self._waiting_bytes += len(rest)
+    def _requeue(self, rest: bytes) -> None:
+        self._lines.appendleft(rest)
+        self._buffered_bytes += len(rest)
 
     def _discard(self, chunk: bytes) -> None:
-        """Counts lines whose reader is gone."""
+        """Counts lines as dropped because the pipe's reader has closed."""
         self.dropped += chunk.count(b"\n")
 
-    def _tell_dropped(self) -> None:
-        if not self._dropped_untold:
+    def _report_drops(self) -> None:
+        if not self._unreported_drops:
             return
-        count, self._dropped_untold = self._dropped_untold, 0
+        count, self._unreported_drops = self._unreported_drops, 0
         logging.getLogger(__name__).warning(
             "log lines dropped", extra={"event": "log_dropped", "lines": count}
         )
--- a/hillthread/transport/service.py
+++ b/hillthread/transport/service.py
@@ -1,4 +1,4 @@
-"""What every program does: logs, signals, status pages."""
+"""Logging, signals and status pages, shared by the server programs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 __all__ = [
     "StatusPages",
-    "announce",
+    "print_addresses",
     "configure_logging",
     "wait_for_signal",
 ]
@@ -25,11 +25,12 @@
 
 
 class StatusPages:
-    """Answers `/healthz`, `/readyz` and `/metrics`.
+    """Serves `/healthz`, `/readyz` and `/metrics`.
 
     Attributes:
-        registry: The metrics served.
-        ready: Returns an empty string, or why the program is not ready.
+        registry: The metrics to serve.
+        not_ready_reason: Returns why the program is not ready, or an empty
+            string when it is.
     """
 
     def __init__(
@@ -43,7 +44,7 @@
     async def answer(
         self, request: http_server.Request, send: http_server.Send
     ) -> bool:
-        """Answers a status page; returns whether the path was one."""
+        """Serves a status page; returns whether the path is one."""
         match request.path:
             case "/healthz":
                 await http_server.send_json(send, 200, {"healthy": True})
@@ -64,7 +65,7 @@
 
 
 def configure_logging() -> None:
-    """Sends logs as JSON lines to the standard error stream."""
+    """Writes logs as JSON lines to the standard error stream."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         jsonlogger.JsonFormatter(
@@ -78,13 +79,13 @@
 
 
 def print_addresses(**addresses: str) -> None:
-    """Prints where the program listens, one line that scripts can read."""
-    words = " ".join(f"{name}={value}" for name, value in addresses.items())
-    print(f"listening {words}", flush=True)
+    """Prints the addresses the program listens on as one parseable line."""
+    pairs = " ".join(f"{name}={value}" for name, value in addresses.items())
+    print(f"listening {pairs}", flush=True)
 
 
 async def wait_for_signal() -> None:
-    """Returns when the program is asked to stop."""
+    """Returns when the program receives SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
--- a/hillthread/transport/target_client.py
+++ b/hillthread/transport/target_client.py
@@ -1,8 +1,8 @@
-"""Requests to targets: what was sent is known when one fails.
+"""HTTP client for targets that reports how far a failed request got.
 
-It uses httpcore, the engine of httpx, one connection at a time: httpx's pool
-compares all connections with each other for every request, which at some
-hundred connections costs more than the request.
+It uses single connections of httpcore, on which httpx is built. httpx's pool
+compares all connections with each other for every request, which with some
+hundred connections costs more than the request itself.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 __all__ = ["AttemptError", "TargetClient", "TargetResponse"]
 
-_MAX_IDLE = 64
+_MAX_IDLE_CONNECTIONS = 64
 _KEEP_ALIVE_S = 20.0
 _UNSENT_ERRORS = (
     httpcore.ConnectError,
@@ -39,13 +39,13 @@
 
 
 class AttemptError(Exception):
-    """An attempt failed.
+    """An attempt at sending a request to a target failed.
 
     Attributes:
-        state: How far it got.
-        reason: Why, in a few words.
-        targets_fault: Whether it counts against the target.
-        resumable: Whether the same answer may be asked for again.
+        state: How far the attempt got.
+        reason: A short description of the failure.
+        is_target_fault: Whether the failure counts against the target.
+        resumable: Whether the same answer may be requested again.
     """
 
     def __init__(
@@ -63,12 +63,12 @@
 
 
 class TargetResponse:
-    """The head of an answer, with its body still to be read.
+    """The head of an answer whose body has not been read yet.
 
     Attributes:
-        status_code: HTTP status.
-        headers: Names in lower case; the last of a repeated one.
-        header_items: All headers in order.
+        status_code: HTTP status code.
+        headers: Values by lower-case name; a repeated header has its last one.
+        header_items: All names and values in order.
     """
 
     def __init__(self, response: httpcore.Response, timeout: dict[str, float]):
@@ -83,14 +83,14 @@
 
 
 class TargetClient:
-    """Keeps connections to targets.
+    """Sends requests to targets over kept-alive connections.
 
-    A connection is used again only after its answer was read to the end; one
-    that is left with unread bytes is closed.
+    A connection is reused only after its answer was read to the end; one with
+    unread bytes is closed.
 
     Attributes:
-        opened: Connections opened.
-        idle: Connections not in use, by address, the last used last.
+        opened: Connections opened so far.
+        idle: Idle connections by address, the last used one at the end.
     """
 
     def __init__(
@@ -125,7 +125,7 @@
         """Sends a request and yields the answer, its body unread.
 
         Raises:
-            AttemptError: No answer came; its state tells what was sent.
+            AttemptError: The request failed; `state` tells whether it was sent.
         """
         timeout = {
             "connect": self.connect_timeout_s,
@@ -133,7 +133,7 @@
             "read": self.first_byte_timeout_s,
         }
         request = _request(address, method, path, headers, body, timeout)
-        connection = await self._take(address)
+        connection = await self._acquire(address)
         try:
             response = await connection.handle_async_request(request)
         except _LIBRARY_ERRORS as error:
@@ -150,13 +150,13 @@
             yield TargetResponse(response, timeout)
         finally:
             await response.aclose()
-            await self._give_back(address, connection)
+            await self._release(address, connection)
 
     async def read_all(self, response: TargetResponse, limit: int) -> bytes:
         """Returns the whole body of an answer.
 
         Raises:
-            AttemptError: It broke off or is larger than `limit`.
+            AttemptError: The body is truncated or larger than `limit`.
         """
         chunks = []
         size = 0
@@ -170,10 +170,10 @@
         return b"".join(chunks)
 
     async def read(self, response: TargetResponse) -> AsyncIterator[bytes]:
-        """Yields the parts of an answer's body as they come.
+        """Yields the parts of an answer's body as they arrive.
 
         Raises:
-            AttemptError: It broke off or stalled.
+            AttemptError: The body is truncated or stalled.
         """
         stream: Any = response.response.stream
         try:
@@ -184,8 +184,8 @@
                 records.AttemptState.ACCEPTED, describe(error)
             ) from error
 
-    async def _take(self, address: str) -> httpcore.AsyncHTTPConnection:
-        """Returns an idle connection that still lives, or a new one."""
+    async def _acquire(self, address: str) -> httpcore.AsyncHTTPConnection:
+        """Returns an idle connection that has not expired, or a new one."""
         connections = self.idle.get(address)
         while connections:
             connection = connections.pop()
@@ -199,19 +199,19 @@
             keepalive_expiry=_KEEP_ALIVE_S,
         )
 
-    async def _give_back(
+    async def _release(
         self, address: str, connection: httpcore.AsyncHTTPConnection
     ) -> None:
-        """Keeps a connection whose answer was read whole, else closes it."""
+        """Keeps a connection whose answer was read to the end, or closes it."""
         connections = self.idle.setdefault(address, collections.deque())
-        if connection.is_idle() and len(connections) < _MAX_IDLE:
+        if connection.is_idle() and len(connections) < _MAX_IDLE_CONNECTIONS:
             connections.append(connection)
         else:
             await connection.aclose()
 
 
 def describe(error: Exception) -> str:
-    """Returns a short description of a library's error."""
+    """Returns the type and text of an error of the HTTP library."""
     text = str(error)
     name = type(error).__name__
     return f"{name}: {text}" if text else name
--- a/tests/transport/test_byte_stream.py
+++ b/tests/transport/test_byte_stream.py
@@ -1,4 +1,4 @@
-"""Tests of streams of bytes that are read as they come."""
+"""Tests of byte streams that buffer received data."""
 
 import socket
 import struct
@@ -9,126 +9,128 @@
 from hillthread.transport import byte_stream
 from hillthread.transport import http1_server
 
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-async def pair():
-    """Returns a stream and the plain socket at its other end."""
+async def connect_pair():
+    """Returns a stream and the plain socket of its peer."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         stream = await byte_stream.open_connection(*listener.getsockname())
-        other, _ = listener.accept()
-    other.settimeout(1.0)
-    return stream, other
+        peer, _ = listener.accept()
+    peer.settimeout(1.0)
+    return stream, peer
 
 
-def play(story):
-    """Runs a story, an async function that takes a stream and its other end."""
+def run_scenario(scenario):
+    """Runs an async function with a stream and the socket of its peer."""
 
     async def run():
-        stream, other = await pair()
-        with other, anyio.fail_after(5.0):
-            await story(stream, other)
+        stream, peer = await connect_pair()
+        with peer, anyio.fail_after(5.0):
+            await scenario(stream, peer)
         stream.abort()
 
     anyio.run(run)
 
 
-async def until(holds):
-    """Waits until something holds."""
-    while not holds():  # noqa: ASYNC110 (nothing tells of it)
+async def wait_until(condition):
+    """Waits until a condition is true."""
+    while not condition():  # noqa: ASYNC110 (no event to wait for)
         await anyio.sleep(0.005)
 
 
 class ByteStreamTest(unittest.TestCase):
-    def test_what_came_is_kept_until_it_is_asked_for(self):
-        async def story(stream, other):
+    def test_received_bytes_are_buffered_until_read(self):
+        async def scenario(stream, peer):
             self.assertFalse(stream.is_readable())
-            other.sendall(b"one")
-            await until(stream.is_readable)
-            other.sendall(b"two")
+            peer.sendall(b"one")
+            await wait_until(stream.is_readable)
+            peer.sendall(b"two")
             await anyio.sleep(0.05)
             self.assertEqual(await stream.receive(), b"onetwo")
             self.assertFalse(stream.is_readable())
 
-        play(story)
+        run_scenario(scenario)
 
     def test_cancelled_receiver_loses_nothing(self):
-        async def story(stream, other):
+        async def scenario(stream, peer):
             with anyio.move_on_after(0.02):
                 await stream.receive()
-            other.sendall(b"late")
+            peer.sendall(b"late")
             self.assertEqual(await stream.receive(), b"late")
 
-        play(story)
+        run_scenario(scenario)
 
-    def test_end_comes_after_what_was_sent_before_it(self):
-        async def story(stream, other):
+    def test_end_of_stream_follows_bytes_sent_before_it(self):
+        async def scenario(stream, peer):
             ended = []
             stream.on_peer_closed = lambda: ended.append(True)
-            other.sendall(b"last")
-            other.shutdown(socket.SHUT_WR)
-            await until(lambda: stream.is_peer_closed)
+            peer.sendall(b"last")
+            peer.shutdown(socket.SHUT_WR)
+            await wait_until(lambda: stream.is_peer_closed)
             self.assertEqual(ended, [True])
             self.assertEqual(await stream.receive(), b"last")
             self.assertEqual(await stream.receive(), b"")
-            # Ours is still open.
+            # This side is still open.
             await stream.send(b"answer")
-            self.assertEqual(other.recv(100), b"answer")
+            self.assertEqual(peer.recv(100), b"answer")
 
-        play(story)
+        run_scenario(scenario)
 
-    def test_reset_is_told_after_what_was_sent_before_it(self):
-        async def story(stream, other):
-            other.sendall(b"last")
-            await until(stream.is_readable)
+    def test_reset_is_reported_after_bytes_sent_before_it(self):
+        async def scenario(stream, peer):
+            peer.sendall(b"last")
+            await wait_until(stream.is_readable)
             await anyio.sleep(0.02)
-            other.setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
-            )
-            other.close()
-            await until(lambda: stream.is_peer_closed)
+            peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            peer.close()
+            await wait_until(lambda: stream.is_peer_closed)
             self.assertEqual(await stream.receive(), b"last")
             with self.assertRaises(OSError):
                 await stream.receive()
             with self.assertRaises(OSError):
                 await stream.send(b"more")
 
-        play(story)
+        run_scenario(scenario)
 
-    def test_peer_that_sends_much_has_to_wait(self):
-        async def story(stream, other):
-            other.setblocking(False)
+    def test_reading_pauses_when_the_buffer_is_full(self):
+        async def scenario(stream, peer):
+            peer.setblocking(False)
             sent = 0
             for _ in range(50):
                 try:
-                    sent += other.send(bytes(1 << 20))
+                    sent += peer.send(bytes(1 << 20))
                 except BlockingIOError:
                     await anyio.sleep(0.01)
-            self.assertLess(len(stream._ahead), 1 << 20)
+            self.assertLess(len(stream._read_buffer), 1 << 20)
             received = 0
             while received < sent:
                 received += len(await stream.receive())
             self.assertEqual(received, sent)
 
-        play(story)
+        run_scenario(scenario)
 
-    def test_sender_waits_for_a_peer_that_does_not_read(self):
-        async def story(stream, other):
+    def test_send_blocks_while_the_peer_does_not_read(self):
+        async def scenario(stream, peer):
             with anyio.move_on_after(0.2) as scope:
                 for _ in range(100):
                     await stream.send(bytes(1 << 20))
             self.assertTrue(scope.cancelled_caught)
-            other.close()
+            peer.close()
             with self.assertRaises(OSError):
                 for _ in range(100):
                     await stream.send(bytes(1 << 20))
 
-        play(story)
+        run_scenario(scenario)
 
-    def test_small_writes_go_out_at_once_both_ways(self):
-        """One way they waited 40 ms for what had been sent to be confirmed."""
+    def test_small_writes_are_not_delayed_on_either_side(self):
+        """Guards against Nagle's algorithm.
+
+        Without TCP_NODELAY, small writes in one direction waited 40 ms for the
+        acknowledgement of the bytes before.
+        """
 
         async def answer(request, answer):
             raise AssertionError((request, answer))
@@ -139,16 +141,16 @@
             accepted, _ = server.socket.accept()
             accepted.setblocking(False)
 
-            async def story():
+            async def scenario():
                 for stream in (
                     await byte_stream.wrap_accepted(accepted),
-                    (await pair())[0],
+                    (await connect_pair())[0],
                 ):
                     option = (socket.IPPROTO_TCP, socket.TCP_NODELAY)
                     self.assertTrue(stream.raw.getsockopt(*option))
                     stream.abort()
 
-            anyio.run(story)
+            anyio.run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/transport/test_http1_client.py
+++ b/tests/transport/test_http1_client.py
@@ -1,4 +1,4 @@
-"""Tests of connections to targets."""
+"""Tests of the HTTP client's connections and their pool."""
 
 import collections
 import socket
@@ -16,25 +16,25 @@
 from hillthread.transport import http1_server
 
 
-async def serve_nothing(caller, answer):
+async def serve_empty(caller, answer):
     del caller
     await answer.send_whole(204, [], b"")
 
 
-async def serve_slowly(caller, answer):
+async def serve_empty_slowly(caller, answer):
     del caller
     await anyio.sleep(0.05)
     await answer.send_whole(204, [], b"")
 
 
-class LostCallTest(unittest.TestCase):
-    def test_call_after_one_that_was_lost_takes_a_new_connection(self):
-        """Kept connections seldom fall silent alone."""
+class FailedCallTest(unittest.TestCase):
+    def test_call_after_a_failed_call_uses_a_new_connection(self):
+        """After one silent connection, the others are not used either."""
 
-        async def story():
+        async def scenario():
             server = http1_server.Server(
                 ("127.0.0.1", 0),
-                serve_slowly,
+                serve_empty_slowly,
                 caller_bounds.CallerBounds,
                 lambda status, reason: None,
             )
@@ -63,34 +63,34 @@
                 await pool.close()
                 tasks.cancel_scope.cancel()
 
-        anyio.run(story)
+        anyio.run(scenario)
 
-    def test_connection_that_carried_an_answer_since_is_kept(self):
-        async def story():
+    def test_connection_used_since_the_failed_call_is_kept(self):
+        async def scenario():
             server = http1_server.Server(
                 ("127.0.0.1", 0),
-                serve_nothing,
+                serve_empty,
                 caller_bounds.CallerBounds,
                 lambda status, reason: None,
             )
             pool = http1_client.ConnectionPool(0.5)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(server.serve)
-                rested = await pool.open(server.address, "test")
-                proven = await pool.open(server.address, "test")
-                await pool.release(rested)
+                idle_connection = await pool.open(server.address, "test")
+                used = await pool.open(server.address, "test")
+                await pool.release(idle_connection)
                 since = anyio.current_time()
-                await pool.release(proven)
+                await pool.release(used)
                 await pool.drop_idle_since(server.address, since)
-                self.assertEqual(list(pool.idle[server.address]), [proven])
+                self.assertEqual(list(pool.idle[server.address]), [used])
                 await pool.close()
                 tasks.cancel_scope.cancel()
 
-        anyio.run(story)
+        anyio.run(scenario)
 
 
 class ClosingTest(unittest.TestCase):
-    """Others take connections while some are closed."""
+    """Tests that closing is safe while other tasks acquire connections."""
 
     def close_while_taken(self, close):
         """Closes idle connections of a pool; the first close empties it."""
@@ -109,7 +109,7 @@
         anyio.run(close, pool)
         self.assertEqual(len(closed), 2)
 
-    def test_rested_connections(self):
+    def test_idle_connections(self):
         async def close(pool):
             await pool.drop_idle_since("a", 1.0)
 
@@ -123,11 +123,11 @@
 
 
 class UnacknowledgedTest(unittest.TestCase):
-    def test_kernel_tells_what_the_peer_has_not_acknowledged(self):
-        """A peer that reads nothing acknowledges what it has room for."""
+    def test_unacknowledged_bytes_are_reported_by_the_kernel(self):
+        """A peer that reads nothing acknowledges what fits into its buffer."""
 
-        async def story():
-            told = []
+        async def scenario():
+            unacknowledged = []
             with socket.socket() as peer:
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 peer.bind(("127.0.0.1", 0))
@@ -142,22 +142,22 @@
                     connection.state_machine = h11.Connection(h11.CLIENT)
                     await connection.send_request(request)
                     await anyio.sleep(0.05)
-                    told.append(connection.unacknowledged_bytes())
-                    # The peer has seen some: it is slow, and not silent.
+                    unacknowledged.append(connection.unacknowledged_bytes())
+                    # The peer acknowledged a part: it is slow, not silent.
                     self.assertFalse(connection.is_request_unacknowledged())
                 await connection.close()
-            self.assertEqual(told[0], 0)
-            self.assertGreater(told[1], 0)
+            self.assertEqual(unacknowledged[0], 0)
+            self.assertGreater(unacknowledged[1], 0)
 
-        anyio.run(story)
+        anyio.run(scenario)
 
 
 class AcceptedConnectionTest(unittest.TestCase):
-    def test_kernel_finds_callers_that_fell_silent(self):
-        async def story():
+    def test_accepted_connections_have_keepalive_and_user_timeout(self):
+        async def scenario():
             server = http1_server.Server(
                 ("127.0.0.1", 0),
-                serve_nothing,
+                serve_empty,
                 caller_bounds.CallerBounds,
                 lambda status, reason: None,
             )
@@ -182,17 +182,17 @@
                 await connection.close()
                 tasks.cancel_scope.cancel()
 
-        anyio.run(story)
+        anyio.run(scenario)
 
 
 class ConnectionPoolTest(unittest.TestCase):
-    def test_own_standstill_is_not_taken_for_an_unreachable_peer(self):
-        """A process that gets no processor finds that its time is over."""
+    def test_connect_timeout_while_the_process_is_paused_is_retried(self):
+        """A process without processor time sees its timers expire late."""
 
-        async def story():
+        async def scenario():
             server = http1_server.Server(
                 ("127.0.0.1", 0),
-                serve_nothing,
+                serve_empty,
                 caller_bounds.CallerBounds,
                 lambda status, reason: None,
             )
@@ -205,16 +205,16 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(connect)
                 await anyio.lowlevel.checkpoint()
-                time.sleep(0.2)  # noqa: ASYNC251 (stands for the standstill)
+                time.sleep(0.2)  # noqa: ASYNC251 (blocks the event loop)
                 while not opened:  # noqa: ASYNC110
                     await anyio.sleep(0.01)
             await opened[0].close()
             server.socket.close()
 
-        anyio.run(story)
+        anyio.run(scenario)
 
     def test_peer_whose_backlog_is_full_is_unreachable(self):
-        async def story():
+        async def scenario():
             with socket.socket() as peer:
                 peer.bind(("127.0.0.1", 0))
                 peer.listen(0)
@@ -226,4 +226,4 @@
             self.assertFalse(caught.exception.sent)
             self.assertEqual(caught.exception.reason, "connecting timed out")
 
-        anyio.run(story)
+        anyio.run(scenario)
--- a/tests/transport/test_http1_server.py
+++ b/tests/transport/test_http1_server.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway's server: which requests are read, and what is sent."""
+"""Tests of the gateway's HTTP server: requests, answers and idle times."""
 
 import contextlib
 import os
@@ -20,12 +20,12 @@
 
 
 class ServerCase(unittest.TestCase):
-    """Has a server whose handler a test sets."""
+    """Base of tests with a server whose handler a test can replace."""
 
     def setUp(self):
         self.calls = []
         self.bounds = caller_bounds.CallerBounds()
-        self.handler = self.serve_nothing
+        self.handler = self.serve_empty
         self.server = http1_server.Server(
             ("127.0.0.1", 0),
             self.handle,
@@ -38,7 +38,7 @@
         self.calls.append(caller.path)
         await self.handler(caller, answer)
 
-    async def serve_nothing(self, caller, answer):
+    async def serve_empty(self, caller, answer):
         del caller
         await answer.send_whole(204, [], b"")
 
@@ -53,29 +53,29 @@
         ip, port = self.server.address.split(":")
         return await anyio.connect_tcp(ip, int(port))
 
-    def play(self, story):
-        """Runs a story beside the server."""
+    def run_scenario(self, scenario):
+        """Runs an async function while the server is serving."""
 
         async def run():
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.server.serve)
                 with anyio.fail_after(_WAIT_S):
-                    await story()
+                    await scenario()
                 tasks.cancel_scope.cancel()
 
         anyio.run(run)
 
 
 class AnswerTest(ServerCase):
-    def test_caller_that_reads_slowly_gets_a_long_answer_whole(self):
+    def test_slow_reader_receives_a_long_answer_completely(self):
         body = b"x" * 8_000_000
 
-        async def long(caller, answer):
+        async def send_long(caller, answer):
             del caller
             await answer.send_whole(200, [], body)
 
-        async def story():
-            self.handler = long
+        async def scenario():
+            self.handler = send_long
             async with await self.open() as caller:
                 await caller.send(_REQUEST)
                 await anyio.sleep(0.6)
@@ -83,11 +83,11 @@
                 while size < len(body):
                     size += len(await caller.receive())
 
-        self.play(story)
+        self.run_scenario(scenario)
 
 
-class DepartureTest(ServerCase):
-    def test_request_whose_caller_left_before_it_was_read_is_not_served(self):
+class ClosedCallerTest(ServerCase):
+    def test_request_whose_caller_closed_before_it_was_read_is_not_served(self):
         for is_reset in (False, True):
             with self.subTest(is_reset=is_reset):
                 caller = self.connect()
@@ -99,14 +99,14 @@
                     )
                 caller.close()
 
-        async def story():
+        async def scenario():
             await anyio.sleep(0.1)
             self.assertEqual(self.calls, [])
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_request_sent_ahead_is_served_after_the_first(self):
-        async def story():
+    def test_all_pipelined_requests_are_served(self):
+        async def scenario():
             async with await self.open() as caller:
                 await caller.send(_REQUEST + _REQUEST)
                 await caller.send(_REQUEST)
@@ -115,13 +115,13 @@
                     answers += await caller.receive()
             self.assertEqual(len(self.calls), 3)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
 
 class AcceptTest(ServerCase):
     @contextlib.contextmanager
-    def no_descriptors_left(self):
-        """Takes all descriptors up to the highest in use."""
+    def exhaust_descriptors(self):
+        """Uses up all file descriptors and lowers the limit to match."""
         highest = max(int(name) for name in os.listdir("/proc/self/fd"))
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (highest + 1, hard))
@@ -136,20 +136,20 @@
             for descriptor in taken:
                 os.close(descriptor)
 
-    def test_server_that_ran_out_of_descriptors_accepts_again(self):
-        async def story():
+    def test_server_accepts_again_after_running_out_of_descriptors(self):
+        async def scenario():
             callers = [self.connect() for _ in range(3)]
-            with self.no_descriptors_left():
+            with self.exhaust_descriptors():
                 await anyio.sleep(0.2)
             for caller in callers:
                 caller.sendall(_REQUEST)
             while len(self.calls) < 3:  # noqa: ASYNC110
                 await anyio.sleep(0.01)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_connection_that_was_lost_when_accepted_ends_nothing(self):
-        async def story():
+    def test_connection_lost_during_accept_does_not_stop_the_server(self):
+        async def scenario():
             with mock.patch.object(
                 byte_stream, "wrap_accepted", side_effect=OSError("lost")
             ):
@@ -160,31 +160,31 @@
             while not self.calls:  # noqa: ASYNC110
                 await anyio.sleep(0.01)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_connection_that_rests_longest_makes_room_for_a_new_one(self):
-        async def story():
-            resting = [self.connect() for _ in range(2)]
+    def test_longest_idle_connection_is_closed_when_descriptors_run_out(self):
+        async def scenario():
+            idle = [self.connect() for _ in range(2)]
             while len(self.server.connections) < 2:  # noqa: ASYNC110
                 await anyio.sleep(0.01)
             caller = self.connect()
             caller.sendall(_REQUEST)
-            with self.no_descriptors_left():
+            with self.exhaust_descriptors():
                 while not self.calls:  # noqa: ASYNC110
                     await anyio.sleep(0.01)
-            first, second = resting
+            first, second = idle
             first.setblocking(False)
             second.setblocking(False)
             self.assertEqual(first.recv(1), b"")
             with self.assertRaises(BlockingIOError):
                 second.recv(1)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
 
 class StoppingTest(ServerCase):
     def test_new_connection_of_a_stopping_server_may_send_its_request(self):
-        async def story():
+        async def scenario():
             self.server.stopping = True
             self.server.close_idle()
             async with await self.open() as caller:
@@ -194,10 +194,10 @@
             self.assertIn(b" 204 ", answer)
             self.assertIn(b"connection: close", answer.lower())
 
-        self.play(story)
+        self.run_scenario(scenario)
 
-    def test_connection_that_has_not_sent_yet_is_not_taken_for_idle(self):
-        async def story():
+    def test_connection_without_a_request_is_not_closed_as_idle(self):
+        async def scenario():
             async with await self.open() as caller:
                 await anyio.sleep(0.05)
                 self.server.stopping = True
@@ -206,10 +206,10 @@
                 await caller.send(_REQUEST)
                 self.assertIn(b" 204 ", await caller.receive())
 
-        self.play(story)
+        self.run_scenario(scenario)
 
     def test_request_that_is_being_read_counts_as_unfinished(self):
-        async def story():
+        async def scenario():
             async with await self.open() as caller:
                 await caller.send(
                     b"POST /x HTTP/1.1\r\nhost: callers.example\r\n"
@@ -223,12 +223,12 @@
                 while self.server.unfinished:  # noqa: ASYNC110
                     await anyio.sleep(0.01)
 
-        self.play(story)
+        self.run_scenario(scenario)
 
 
 class IdleTest(ServerCase):
-    def test_longer_time_to_rest_holds_for_open_connections(self):
-        async def story():
+    def test_longer_idle_timeout_applies_to_open_connections(self):
+        async def scenario():
             self.bounds = self.bounds._replace(idle_timeout_s=0.2)
             async with await self.open() as caller:
                 await caller.send(_REQUEST)
@@ -242,4 +242,4 @@
                     await caller.receive()
                 self.assertGreater(time.monotonic() - started, 0.8)
 
-        self.play(story)
+        self.run_scenario(scenario)
--- a/tests/transport/test_http_server.py
+++ b/tests/transport/test_http_server.py
@@ -1,4 +1,4 @@
-"""Tests of the server of the router and the control process."""
+"""Tests of the HTTP server of the router and the control process."""
 
 import socket
 import unittest
@@ -8,7 +8,7 @@
 
 class ServerTest(unittest.TestCase):
     def test_accepts_connections_before_it_serves(self):
-        """A program tells its addresses before its server's task has run."""
+        """Programs print their addresses before the server's task has run."""
         server = http_server.Server("127.0.0.1:0", None)
         self.addCleanup(server.socket.close)
         ip, port = server.address.split(":")
--- a/tests/transport/test_log_writer.py
+++ b/tests/transport/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Tests of log lines that never hold up the loop."""
+"""Tests of the log handler that never blocks the event loop."""
 
 import json
 import logging
@@ -17,10 +17,10 @@
         self.logger.addHandler(self.handler)
         self.logger.propagate = False
         self.logger.setLevel(logging.INFO)
-        tell = logging.getLogger(log_writer.__name__)
-        tell.addHandler(self.handler)
-        tell.propagate = False
-        self.addCleanup(tell.removeHandler, self.handler)
+        writer_logger = logging.getLogger(log_writer.__name__)
+        writer_logger.addHandler(self.handler)
+        writer_logger.propagate = False
+        self.addCleanup(writer_logger.removeHandler, self.handler)
         self.addCleanup(self.logger.removeHandler, self.handler)
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, self.writer)
@@ -34,7 +34,7 @@
             except BlockingIOError:
                 return b"".join(parts)
 
-    def test_stuffed_pipe_drops_lines_and_tells_how_many(self):
+    def test_lines_dropped_at_a_full_pipe_are_counted_and_reported(self):
         for number in range(5000):
             self.logger.info("line", extra={"number": number, "pad": "x" * 90})
             if number % 100 == 0:
@@ -45,28 +45,30 @@
             self.handler.flush()
             lines += self.read()
         decoded = [json.loads(line) for line in lines.splitlines()]
-        told = [d for d in decoded if d.get("event") == "log_dropped"]
-        self.assertEqual(sum(d["lines"] for d in told), self.handler.dropped)
+        reported = [d for d in decoded if d.get("event") == "log_dropped"]
+        self.assertEqual(
+            sum(d["lines"] for d in reported), self.handler.dropped
+        )
         numbers = [d["number"] for d in decoded if "number" in d]
         self.assertEqual(numbers, sorted(numbers))
         self.assertEqual(len(numbers) + self.handler.dropped, 5000)
 
-    def test_line_says_nothing_twice_and_nothing_unknown(self):
+    def test_lines_omit_repeated_messages_and_none_values(self):
         fields = {"event": "chosen", "target": None, "seconds": 0.5}
         self.logger.info("chosen", extra=fields)
         self.logger.info("words", extra={"event": "chosen", "odd": object})
         self.handler.flush()
         first, second = self.read().splitlines()
-        told = json.loads(first)
-        self.assertAlmostEqual(told.pop("created"), time.time(), delta=60.0)
+        reported = json.loads(first)
+        self.assertAlmostEqual(reported.pop("created"), time.time(), delta=60.0)
         self.assertEqual(
-            told, {"levelname": "INFO", "event": "chosen", "seconds": 0.5}
+            reported, {"levelname": "INFO", "event": "chosen", "seconds": 0.5}
         )
         self.assertNotIn(b" ", first)
         self.assertEqual(json.loads(second)["message"], "words")
         self.assertEqual(json.loads(second)["odd"], str(object))
 
-    def test_reader_that_is_gone_stops_nothing(self):
+    def test_closed_reader_does_not_block_or_raise(self):
         os.close(self.reader)
         self.reader = os.open(os.devnull, os.O_RDONLY)
         self.logger.info("line")
