--- a/hillthread/programs/bench.py
+++ b/hillthread/programs/bench.py
@@ -1,4 +1,4 @@
-"""`hillthread-bench`: comparisons, costs and the demonstration."""
+"""`hillthread-bench`: comparisons, cost measurements, demos and soak tests."""
 
 from __future__ import annotations
 
@@ -39,17 +39,17 @@
     crashes: int = 0,
     duration_s: float = 120.0,
 ) -> None:
-    """Compares the policies on one trace and prints one JSON object.
+    """Compares the routing policies on one trace.
 
     Args:
         workload: `prairie` or `wetterwerk`.
-        seed: Of the trace.
-        json: Print JSON; otherwise a table.
-        routers: Routers that share the load.
-        talk_s: Time between two messages of a router to the others; 0 for
-            routers that do not talk.
-        crashes: Engines that crash during the trace.
-        duration_s: Length of the trace.
+        seed: Seed of the trace.
+        json: Print one JSON object; otherwise one line for each policy.
+        routers: Number of routers that share the load.
+        talk_s: Interval in seconds at which a router sends messages to the
+            others; 0 for routers that send none.
+        crashes: Number of engines that crash during the trace.
+        duration_s: Length of the trace in seconds.
     """
     setup = compare_lib.Setup(
         workload,
@@ -68,35 +68,35 @@
 
 
 def demo() -> None:
-    """Shows the whole path with real processes on loopback."""
+    """Runs requests through a router and engines, all on loopback."""
     demo_lib.run_demo()
 
 
 def gateway_demo() -> None:
-    """Shows gateways on a platform with a store, all on loopback."""
+    """Runs gateways on a platform that provides a store, all on loopback."""
     gateway_demo_lib.run_gateway_demo()
 
 
 def report(
     journal: str = "journal", output: str = "target/report.html"
 ) -> None:
-    """Writes one page on all runs that the platform's bench has noted.
+    """Writes an HTML report of all runs recorded in the journal.
 
     Args:
-        journal: The folder of its entries.
-        output: Where the page is written.
+        journal: Folder of the journal entries.
+        output: Path of the HTML page.
     """
     path = pathlib.Path(output)
     path.parent.mkdir(parents=True, exist_ok=True)
     count = report_lib.write_report(pathlib.Path(journal), path)
-    print(f"{count} runs told in {path}")
+    print(f"{count} runs reported in {path}")
 
 
 def overhead(json: bool = True) -> None:
-    """Measures what the router adds to each request and token.
+    """Measures the overhead of the router for each request and token.
 
     Args:
-        json: Print JSON; otherwise a line for each figure.
+        json: Print JSON; otherwise one line for each figure.
     """
     costs = overhead_lib.measure_overhead()
     result = {name: cost._asdict() for name, cost in costs.items()}
@@ -108,10 +108,10 @@
 
 
 def limits(seed: int = 1) -> None:
-    """Measures how closely a tenant's limit is kept.
+    """Measures how accurately an organisation's limit is enforced.
 
     Args:
-        seed: Of the arrivals.
+        seed: Seed of the arrival times.
     """
     for pattern, ways in limits_lib.measure_limits(seed).items():
         for way, result in ways.items():
@@ -119,26 +119,26 @@
 
 
 def control() -> None:
-    """Measures how long changes and restarts take on 8 hosts."""
+    """Measures how long configuration changes and restarts take on 8 hosts."""
     times = control_times.measure_control_times()
     for name, value in times._asdict().items():
         print(f"{name}: {value:.3f}")
 
 
 def soak(seconds: float = 600.0, seed: int = 1) -> None:
-    """Runs both shapes over 8 hosts with random faults, promises checked.
+    """Runs both workloads on 8 hosts under random faults and checks guarantees.
 
     Args:
-        seconds: How long.
-        seed: Of arrivals and faults.
+        seconds: Duration of the run.
+        seed: Seed of the arrivals and faults.
     """
     report = soak_lib.run_soak(seconds, seed)
     for name, value in report._asdict().items():
         print(f"{name}: {value}")
     if report.violations:
         raise errors.HillthreadError(
-            f"{len(report.violations)} promises were broken.",
-            "Run it again with the same seed and read the logs.",
+            f"{len(report.violations)} guarantees were violated.",
+            "Repeat the run with the same seed and read the logs.",
         )
 
 
@@ -152,19 +152,20 @@
     faults: str | tuple[str, ...] = "",
     keep: str = "",
 ) -> None:
-    """Runs gateways as processes under random faults, promises judged.
+    """Runs gateway processes under random faults and checks their guarantees.
 
     Args:
-        seed: The first one, of load and faults.
-        seeds: How many are run, one after the other.
-        seconds: How long faults begin in each.
-        hosts: Gateways.
-        engines: Engines; three plain targets come with them.
-        callers: Callers at the same time.
-        faults: Kinds of faults, separated by commas; all when left out.
-        keep: Folder for the logs of seeds that broke promises.
+        seed: First seed of load and faults.
+        seeds: Number of consecutive seeds to run.
+        seconds: How long new faults begin in each run.
+        hosts: Number of gateways.
+        engines: Number of engines; three plain targets are added to them.
+        callers: Number of concurrent callers.
+        faults: Kinds of faults, separated by commas; empty for all.
+        keep: Folder for the logs of runs that violated a guarantee.
     """
-    if isinstance(faults, str):  # the command line splits more than one itself
+    # fire passes a string for one value and a tuple for several.
+    if isinstance(faults, str):
         faults = (faults,) if faults else ()
     series.run_series(
         gateway_soak_lib.SoakPlan(
@@ -175,10 +176,10 @@
 
 
 def gateway_soak_again(keep: str = "") -> None:
-    """Runs the seeds that once broke a promise in `gateway-soak`.
+    """Repeats seeds that violated a guarantee in `gateway-soak` before.
 
     Args:
-        keep: Folder for the logs of seeds that broke promises.
+        keep: Folder for the logs of runs that violated a guarantee.
     """
     series.run_series(
         gateway_soak_lib.SoakPlan(
@@ -196,11 +197,12 @@
 
 
 def slopes(json: bool = True, seconds: float = 10.0) -> None:
-    """Measures what one more of each thing costs.
+    """Measures the cost of one more object, target, record, message and so on.
 
     Args:
-        json: Print JSON; otherwise a line for each slope.
-        seconds: How long control is measured at each size of a site.
+        json: Print JSON; otherwise one line for each slope.
+        seconds: How long the control processes are measured at each number of
+            hosts.
     """
     result: dict[str, object] = {
         name: slope._asdict()
@@ -222,21 +224,22 @@
     """Runs the fault matrix with real processes.
 
     Args:
-        seed: Of the sample.
-        sample: Cells of each part; 0 for all, which writes the page.
-        page: Where the page is written.
+        seed: Seed of the sample.
+        sample: Number of cells to run of each part of the matrix; 0 runs all
+            cells and writes the page.
+        page: Path of the page with the results.
     """
     report = runner.run_matrix(seed, sample, "" if sample else page)
     print(report.totals())
     if report.violations:
         raise errors.HillthreadError(
-            f"{report.violations} cells broke their promise.",
-            "Run one again with --seed and read the processes' logs.",
+            f"{report.violations} cells violated their guarantee.",
+            "Repeat the run with the same --seed and read the processes' logs.",
         )
 
 
 def main() -> None:
-    """The console script."""
+    """Runs the console script."""
     command.run_command(
         {
             "compare": compare,
--- a/hillthread/programs/control.py
+++ b/hillthread/programs/control.py
@@ -1,4 +1,7 @@
-"""`hillthread-control`: one beside each router, for all that may wait."""
+"""`hillthread-control`: the control process that runs beside each router.
+
+It does the work that is not on the path of a request.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 class ControlProgram:
-    """The control process with all its parts."""
+    """The control process and its components."""
 
     def __init__(self, settings: settings_lib.ControlSettings):
         self.settings = settings
@@ -50,7 +53,7 @@
         self.author: change_author.ChangeAuthor | None = None
         self.orders: order_keeper.OrderKeeper | None = None
         if settings.log is not None:
-            self._use_log(settings.log, identity, registry)
+            self._create_log_components(settings.log, identity, registry)
         pages = service.StatusPages(registry, self.node.not_ready_reason)
         api = admin.AdminApi(
             settings, self.node, pages, self.author, self.follower
@@ -58,7 +61,7 @@
         self.admin = http_server.Server(settings.admin_listen, api.handle)
 
     async def run(self) -> None:
-        """Runs until asked to stop."""
+        """Runs until a signal asks the process to stop."""
         stop = anyio.Event()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.links.serve)
@@ -86,7 +89,7 @@
                 stop.set()
             tasks.cancel_scope.cancel()
 
-    def _use_log(
+    def _create_log_components(
         self,
         address: str,
         identity: link.Identity,
@@ -120,7 +123,7 @@
 
 
 def run(settings: str) -> None:
-    """Follows the log, passes configuration on, serves the admin API.
+    """Follows the log, distributes configuration and serves the admin API.
 
     Args:
         settings: Path of the JSON settings file; see examples/control.json.
@@ -131,7 +134,7 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Runs the console script."""
     command.run_command(run)
 
 
--- a/hillthread/programs/ctl.py
+++ b/hillthread/programs/ctl.py
@@ -1,4 +1,4 @@
-"""`hillthread-ctl`: the operators' command line."""
+"""`hillthread-ctl`: the command line for operators."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 class CtlError(errors.HillthreadError):
-    """The admin API refused, or could not be reached."""
+    """A command failed, or the admin API refused it or was unreachable."""
 
     code = "ctl_failed"
 
 
 class Ctl:
-    """Commands on the admin API of any host.
+    """Commands for the admin API of any host.
 
-    The address is that of a control's admin_listen, or of a gateway's
-    feed_listen for `quarantine`, `quotas` and `limits`; the operator's key is
-    taken from the environment variable HILLTHREAD_KEY.
+    Give the address of a control's admin_listen, or of a gateway's feed_listen
+    for `quarantine`, `quotas`, `limits` and `targets`. The operator's key is
+    read from the environment variable HILLTHREAD_KEY.
     """
 
     def __init__(self, address: str = "127.0.0.1:9080"):
-        """Sets what all commands use.
+        """Sets the address and the key for all commands.
 
         Args:
             address: `IP:port` of a host's admin API.
@@ -47,10 +47,10 @@
         self._headers = {"authorization": f"Bearer {key}"} if key else {}
 
     def apply(self, file: str, dry_run: bool = False) -> None:
-        """Creates or replaces the objects in a JSON file, one or a list.
+        """Creates or replaces the object, or list of objects, in a JSON file.
 
-        An object may carry `expected_version` beside `object`; without it the
-        version now in force is replaced.
+        An entry may have the fields `object` and `expected_version`; without an
+        expected version, any current version of the object is replaced.
         """
         for body in _read_changes(file):
             result = self._call(
@@ -66,7 +66,7 @@
                 print(f"  warning: {warning}")
 
     def get(self, kind: str = "", name: str = "", selector: str = "") -> None:
-        """Prints one object, or all that match."""
+        """Prints one object, or all objects that match."""
         if name:
             found = self._call("GET", f"/v1/objects/{kind}/{name}")
         else:
@@ -85,7 +85,7 @@
         print(f"{kind}/{name} removed, record {result['record_id']}")
 
     def diff(self, file: str) -> None:
-        """Shows what applying a file would change."""
+        """Prints the differences that applying a file would make."""
         for body in _read_changes(file):
             result = self._call("PUT", "/v1/objects", {**body, "dry_run": True})
             lines = difflib.unified_diff(
@@ -95,7 +95,7 @@
             print("\n".join(lines))
 
     def history(self, kind: str = "", name: str = "", limit: int = 20) -> None:
-        """Prints who changed what, the newest first."""
+        """Lists changes and who made them, the newest first."""
         changes = self._call(
             "GET", "/v1/history", kind=kind, name=name, limit=limit
         )
@@ -109,14 +109,14 @@
             )
 
     def rollback(self, offset: int, dry_run: bool = False) -> None:
-        """Puts an object back to before the change at a log offset."""
+        """Restores an object to its state before the change at an offset."""
         result = self._call(
             "POST", "/v1/rollback", {"offset": offset, "dry_run": dry_run}
         )
         print(f"accepted at offset {result['offset']}")
 
     def outcome(self, record_id: str) -> None:
-        """Tells what became of a change whose outcome was unknown."""
+        """Prints the outcome of a change that reported an unknown outcome."""
         result = self._call("GET", f"/v1/outcomes/{record_id}")
         rejection = result["rejection"]
         if rejection is None:
@@ -125,21 +125,22 @@
             print(f"refused: {rejection['code']}: {rejection['message']}")
 
     def status(self) -> None:
-        """Prints the configuration position in force on every host."""
+        """Prints the configuration position of every host."""
         _print(self._call("GET", "/v1/status"))
 
     def quarantine(self, clear: str = "") -> None:
-        """Lists requests that are held because targets ended under them.
+        """Lists requests held back because they crashed targets.
 
-        Give --address of a gateway's feed_listen, as its `start` line tells it.
+        Give --address of a gateway's feed_listen, which its log line `start`
+        contains.
 
         Args:
-            clear: Digest of one that all hosts are to forget: it was mended,
-                or its targets were.
+            clear: Digest of a request that all hosts release from quarantine,
+                after the request or its targets were repaired.
         """
         if clear:
             found = self._call("POST", feed.QUARANTINE_PATH, text=clear)
-            known = "" if found["cleared"] else "; this host did not know it"
+            known = "" if found["cleared"] else "; it was unknown to this host"
             print(f"{clear} is cleared{known}")
             return
         for each in self._call("GET", feed.QUARANTINE_PATH):
@@ -149,35 +150,38 @@
             )
 
     def quotas(self) -> None:
-        """Lists the quotas of organisations and what one host knows is used.
+        """Lists the quotas of organisations and their usage known to one host.
 
-        Give --address of a gateway's feed_listen, as its `start` line tells it.
+        Give --address of a gateway's feed_listen, which its log line `start`
+        contains.
         """
         for each in self._call("GET", feed.QUOTAS_PATH):
             print(
                 f"{each['tenant']} {each['rate_per_s']:.0f} {each['unit']}/s "
                 f"+ {each['burst']:.0f}: {each['used']} of {each['limit']} "
-                f"used, {each['left']} left at once, {each['part']} of all "
-                f"hosts in touch, {each['refused']} refused here"
+                f"used, {each['left']} remaining now, {each['part']} of all "
+                f"hosts reachable, {each['refused']} refused by this host"
             )
 
     def limits(self) -> None:
-        """Lists the limits that targets have named, as one host knows them.
+        """Lists the rate limits announced by targets, as known to one host.
 
-        Give --address of a gateway's feed_listen, as its `start` line tells it.
+        Give --address of a gateway's feed_listen, which its log line `start`
+        contains.
         """
         for each in self._call("GET", feed.LIMITS_PATH):
             print(
                 f"{each['target']} takes {each['per_s']:g}/s of all hosts: "
-                f"{each['used']:g} sent lately, {each['left']:g} left at once, "
-                f"{each['part']} of all hosts in touch, {each['passed_over']} "
-                f"requests passed over here"
+                f"{each['used']:g} sent recently, {each['left']:g} remaining "
+                f"now, {each['part']} of all hosts reachable, skipped for "
+                f"{each['passed_over']} requests by this host"
             )
 
     def targets(self) -> None:
-        """Lists the targets that leave or back off, as one host knows them.
+        """Lists targets that leave or back off, as known to one host.
 
-        Give --address of a gateway's feed_listen, as its `start` line tells it.
+        Give --address of a gateway's feed_listen, which its log line `start`
+        contains.
         """
         for each in self._call("GET", feed.TARGETS_PATH):
             reasons = []
@@ -190,12 +194,12 @@
     def explain(
         self, request_id: str, *files: str, logs: str = "", json: bool = False
     ) -> None:
-        """Tells why a request went where it did.
+        """Explains how a request was routed.
 
         Args:
-            request_id: The request's id.
-            files: More log files.
-            logs: A log file of a gateway; without one the hosts are asked.
+            request_id: Id of the request.
+            files: Additional log files.
+            logs: Log file of a gateway; without one the hosts are queried.
             json: Print the decisions as JSON.
         """
         if logs or files:
@@ -206,8 +210,8 @@
         found = self._call("GET", "/v1/records", request_id=request_id)
         if not found:
             raise CtlError(
-                f"No host keeps a record of {request_id}.",
-                "Records are kept in bounded memory; ask sooner.",
+                f"No host has a record of {request_id}.",
+                "Records are kept in bounded memory; query them sooner.",
             )
         if json:
             _print(found[0])
@@ -221,7 +225,7 @@
         reason: str = "",
         limit: int = 20,
     ) -> None:
-        """Lists the newest decisions that match."""
+        """Lists the newest decision records that match."""
         found = self._call(
             "GET",
             "/v1/records",
@@ -264,8 +268,11 @@
                 "Give --address of a host's admin_listen.",
             ) from error
         if response.status_code != 200:
-            told = value["error"]
-            raise CtlError(f"{told['code']}: {told['message']}", told["remedy"])
+            encode_error_body = value["error"]
+            raise CtlError(
+                f"{encode_error_body['code']}: {encode_error_body['message']}",
+                encode_error_body["remedy"],
+            )
         return value
 
 
@@ -288,7 +295,8 @@
     if story is None:
         raise errors.NotFoundError(
             f"No line in {len(files)} files is about {request_id}.",
-            "Give the logs of all hosts; ordinary requests are only sampled.",
+            "Give the logs of all hosts; only some ordinary requests are "
+            "logged.",
         )
     if as_json:
         _print(documents.as_document(story))
@@ -318,7 +326,7 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Runs the console script."""
     command.run_command(Ctl)
 
 
--- a/hillthread/programs/gateway.py
+++ b/hillthread/programs/gateway.py
@@ -1,4 +1,4 @@
-"""`hillthread-gateway`: data plane and duties of a host with a store only."""
+"""`hillthread-gateway`: the gateway on a platform that provides a store."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 async def serve(settings: gateway_settings.GatewaySettings, path: str) -> None:
-    """Runs until asked to stop and drained.
+    """Runs until a signal asks the process to stop and requests are drained.
 
     Args:
-        settings: As read at the start.
-        path: Of their file, which is read again when it changes.
+        settings: Settings read at the start.
+        path: Path of the settings file, which is read again when it changes.
     """
     handler = log_writer.BufferedLogHandler(sys.stdout.fileno())
     logging.basicConfig(level=logging.INFO, handlers=[handler], force=True)
@@ -58,22 +58,25 @@
                 if number is not signal.SIGHUP:
                     break
                 watch.reload()
-            # Further signals are still caught here: they must not end a
-            # process that is answering its last requests.
+            # Further signals are still caught here, because they must not
+            # terminate a process that is answering its last requests.
             await host.drain(clock.now())
-            # Nor may they end the process otherwise than with its own code.
+            # Signals are blocked until the process exits, so that none of them
+            # replaces its exit code.
             signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
         tasks.cancel_scope.cancel()
 
 
 def run(settings: str = "") -> None:
-    """Routes callers' requests on a platform that gives a store.
+    """Routes callers' requests on a platform that provides a store.
 
     Args:
-        settings: Path of the JSON settings file; when it is left out, the
-            platform's variable names it.
+        settings: Path of the JSON settings file; without it, the path is taken
+            from the platform's environment variable.
     """
-    # The settings may change at once; they are read after this.
+    # SIGHUP may arrive as soon as the process has started; it is ignored until
+    # the handler is installed. The settings are read after this, so no change
+    # is missed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = settings or os.environ.get(names.SETTINGS_VARIABLE, "")
     loaded = settings_lib.load_settings(path, gateway_settings.GatewaySettings)
@@ -81,7 +84,7 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Runs the console script."""
     command.run_command(run)
 
 
--- a/hillthread/programs/router.py
+++ b/hillthread/programs/router.py
@@ -1,4 +1,4 @@
-"""`hillthread-router`: the callers' data plane, one loop."""
+"""`hillthread-router`: forwards callers' requests to targets in one loop."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class RouterProgram:
-    """The router with its sockets and its status pages."""
+    """The router, its sockets and its status pages."""
 
     def __init__(self, settings: settings_lib.RouterSettings, tasks):
         self.settings = settings
@@ -59,7 +59,7 @@
     async def handle(
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
-        """Serves the status pages and the records kept here."""
+        """Serves the status pages and this host's decision records."""
         if await self.pages.answer(request, send):
             return
         if request.path != "/v1/records":
@@ -68,20 +68,24 @@
         if not request.has_bearer(self.settings.secret):
             await http_server.send_json(send, 401, {"code": "invalid_key"})
             return
-        wanted = record_pages.RecordFilter(
+        record_filter = record_pages.RecordFilter(
             request.parameter("request_id"),
             request.parameter("tenant"),
             request.parameter("target"),
             request.parameter("reason"),
             request.int_parameter("limit", 20),
         )
-        found = record_pages.select_records(self.router.records, wanted)
+        found = record_pages.select_records(self.router.records, record_filter)
         await http_server.send_json(send, 200, documents.as_document(found))
 
     async def drain(self) -> None:
-        """Stops as planned: not ready, serve on, wait for open requests."""
+        """Prepares a planned stop and waits until requests are drained.
+
+        The router reports that it is not ready, serves on for `notice_s` so
+        that load balancers notice, and then waits for open requests.
+        """
         self.router.draining = True
-        _logger.info("stopping: notice", extra={"code": "stop_notice"})
+        _logger.info("stopping: no longer ready", extra={"code": "stop_notice"})
         await anyio.sleep(self.settings.notice_s)
         with anyio.move_on_after(self.settings.drain_s):
             await self.router.wait_idle()
@@ -92,7 +96,7 @@
 
 
 async def serve(settings: settings_lib.RouterSettings) -> None:
-    """Runs until asked to stop and drained."""
+    """Runs until a signal asks the process to stop and requests are drained."""
     async with anyio.create_task_group() as tasks:
         program = RouterProgram(settings, tasks)
         if settings.configuration_file is not None:
@@ -127,7 +131,7 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Runs the console script."""
     command.run_command(run)
 
 
--- a/hillthread/programs/standin.py
+++ b/hillthread/programs/standin.py
@@ -1,4 +1,4 @@
-"""`hillthread-standin`: stand-ins of engines, services and the platform."""
+"""`hillthread-standin`: stand-ins for engines, services and the platform."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
 
 
 class _Runnable(Protocol):
-    """A stand-in that can be run."""
+    """A stand-in that serves on an HTTP server."""
 
     server: http_server.Server
 
     async def run(self, stop: anyio.Event) -> None:
-        """Serves until `stop`."""
+        """Serves until `stop` is set."""
 
 
 def engine(settings: str) -> None:
-    """Runs an engine stand-in; see examples/standin-engine.json."""
+    """Runs a stand-in for an engine; see examples/standin-engine.json."""
     _run(settings, engine_lib.EngineSettings, engine_lib.EngineStandin)
 
 
 def log(settings: str) -> None:
-    """Runs a stand-in of the platform's log."""
+    """Runs a stand-in for the platform's log."""
     _run(settings, services.StandinSettings, services.LogStandin)
 
 
 def hosts(settings: str) -> None:
-    """Runs a stand-in of the platform's host list."""
+    """Runs a stand-in for the platform's host list."""
     _run(settings, services.StandinSettings, services.HostListStandin)
 
 
 def plain(settings: str) -> None:
-    """Runs a stand-in of a plain service."""
+    """Runs a stand-in for a plain service."""
     _run(settings, services.StandinSettings, services.PlainStandin)
 
 
@@ -59,12 +59,12 @@
 def _run(
     path: str, kind: type[_Settings], make: Callable[[_Settings], _Runnable]
 ) -> None:
-    """Runs a stand-in until it is asked to stop.
+    """Runs a stand-in until a signal asks the process to stop.
 
     Args:
-        path: Of its settings file.
-        kind: Of its settings.
-        make: Makes the stand-in of them.
+        path: Path of the settings file.
+        kind: Type of the settings.
+        make: Creates the stand-in from its settings.
     """
     settings = settings_lib.load_settings(path, kind)
     service.configure_logging()
@@ -81,7 +81,7 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Runs the console script."""
     command.run_command(
         {
             "engine": engine,
--- a/tests/programs/test_bench.py
+++ b/tests/programs/test_bench.py
@@ -1,4 +1,4 @@
-"""Tests of how the bench's command line is read."""
+"""Tests of the command line of `hillthread-bench`."""
 
 import unittest
 from unittest import mock
@@ -9,17 +9,17 @@
 from hillthread.programs import bench
 
 
-def _planned(*words):
-    """Returns the plans of the soaks that a command would run."""
+def _soak_plans(*arguments):
+    """Returns the soak plans that a command line would run."""
     with mock.patch.object(series, "run_series") as run_series:
-        fire.Fire(bench.gateway_soak, list(words))
+        fire.Fire(bench.gateway_soak, list(arguments))
     (plans,) = run_series.call_args.args
     return list(plans)
 
 
 class GatewaySoakCommandTest(unittest.TestCase):
     def test_kinds_of_faults_are_separated_by_commas(self):
-        for words, faults in (
+        for arguments, faults in (
             ([], ()),
             (["--faults=host_killed"], ("host_killed",)),
             (
@@ -27,10 +27,10 @@
                 ("host_killed", "key_changes"),
             ),
         ):
-            with self.subTest(words):
-                (plan,) = _planned(*words)
+            with self.subTest(arguments):
+                (plan,) = _soak_plans(*arguments)
                 self.assertEqual(plan.faults, faults)
 
     def test_each_seed_has_its_plan(self):
-        plans = _planned("--seed=5", "--seeds=3")
+        plans = _soak_plans("--seed=5", "--seeds=3")
         self.assertEqual([plan.seed for plan in plans], [5, 6, 7])
--- a/tests/programs/test_control.py
+++ b/tests/programs/test_control.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts share, with real processes and a log that fails."""
+"""Tests of state shared by hosts, with real processes and a failing log."""
 
 import json
 import unittest
@@ -17,13 +17,13 @@
 CHAT = [{"role": "user", "content": "hello " * 50}]
 
 
-def once(key):
+def once_headers(key):
     """Returns the headers of a request that must run at most once."""
     return {"x-hillthread-repeatable": "false", "idempotency-key": key}
 
 
 class ControlTest(unittest.IsolatedAsyncioTestCase):
-    """Two data centres of two hosts; each test has its own objects."""
+    """Tests share two data centres of two hosts; each has its own objects."""
 
     @classmethod
     def setUpClass(cls):
@@ -41,12 +41,12 @@
     async def asyncSetUp(self):
         self.site.client = httpx.AsyncClient(trust_env=False, timeout=15.0)
         self.addAsyncCleanup(self.site.close)
-        self.addAsyncCleanup(self.heal)
+        self.addAsyncCleanup(self.clear_log_faults)
 
-    async def heal(self):
-        await self.log(down=False, slow_s=0, lose_answers=0)
+    async def clear_log_faults(self):
+        await self.set_log_faults(down=False, slow_s=0, lose_answers=0)
 
-    async def log(self, **faults):
+    async def set_log_faults(self, **faults):
         await self.site.control_standin(self.site.log, faults)
 
     async def put(self, value, host=0, **fields):
@@ -54,7 +54,7 @@
         body = {"object": value, **fields}
         return await self.site.call(admin, "PUT", "/v1/objects", body)
 
-    async def test_every_host_has_a_change_and_says_so(self):
+    async def test_change_reaches_and_is_reported_by_every_host(self):
         answer = await self.put({**POLICY, "name": "everywhere"}, host=3)
         await self.site.wait_position(answer["offset"])
         admin = self.site.hosts[0].admin
@@ -64,32 +64,32 @@
             )
             self.assertEqual(found["version"], answer["version"])
 
-        async def told():
+        async def is_reported():
             status = await self.site.call(admin, "GET", "/v1/status")
             positions = status["positions"].values()
             return len(positions) == 4 and set(positions) == {
                 status["position"]
             }
 
-        await site_lib.wait_until(told)
+        await site_lib.wait_until(is_reported)
 
-    async def test_racing_operators_one_wins(self):
+    async def test_one_of_several_concurrent_changes_is_accepted(self):
         answers = []
 
-        async def race(host):
+        async def put_concurrently(host):
             value = {**POLICY, "name": "raced", "order": host}
             answers.append(await self.put(value, host, expected_version=0))
 
         async with anyio.create_task_group() as group:
             for host in range(4):
-                group.start_soon(race, host)
+                group.start_soon(put_concurrently, host)
         accepted = [each for each in answers if "offset" in each]
         refused = [each["error"]["code"] for each in answers if "error" in each]
         self.assertEqual(len(accepted), 1)
         self.assertEqual(refused, ["version_conflict"] * 3)
 
     async def test_lost_append_answer_is_resolved_by_reading(self):
-        await self.log(lose_answers=1)
+        await self.set_log_faults(lose_answers=1)
         answer = await self.put({**POLICY, "name": "lost-answer"})
         self.assertIn("offset", answer)
         outcome = await self.site.call(
@@ -99,7 +99,7 @@
         self.assertEqual(outcome["offset"], answer["offset"])
 
     async def test_log_down_refuses_changes_and_serves_requests(self):
-        await self.log(down=True)
+        await self.set_log_faults(down=True)
         refused = await self.put({**POLICY, "name": "down"})
         self.assertEqual(refused["error"]["code"], "outcome_unknown")
         caller = caller_lib.Caller(
@@ -109,8 +109,8 @@
         await caller.close()
         self.assertTrue(answer.complete)
 
-    async def test_restart_with_the_platform_down_serves_from_a_peer(self):
-        await self.log(down=True)
+    async def test_host_restarted_without_the_log_uses_a_peer(self):
+        await self.set_log_faults(down=True)
         host = self.site.hosts[1]
         before = await self.site.position(host)
         host.kill()
@@ -152,20 +152,20 @@
         dangling = await self.put(route, dry_run=True)
         self.assertEqual(len(dangling["warnings"]), 1)
 
-    async def test_admin_api_checks_who_asks(self):
+    async def test_admin_api_checks_keys_and_roles(self):
         admin = self.site.hosts[0].admin
-        stranger = await self.site.call(
+        unknown_key = await self.site.call(
             admin, "GET", "/v1/status", key="stranger"
         )
         tenant = await self.site.call(
             admin, "GET", "/v1/status", key=deployment.tenant_key("o1")
         )
-        codes = [stranger["error"]["code"], tenant["error"]["code"]]
+        codes = [unknown_key["error"]["code"], tenant["error"]["code"]]
         self.assertEqual(codes, ["invalid_key", "forbidden"])
         api = await self.site.client.get(f"http://{admin}/openapi.json")
         self.assertIn("/v1/objects", api.json()["paths"])
 
-    async def test_any_host_explains_for_all(self):
+    async def test_any_host_returns_the_records_of_all_hosts(self):
         caller = caller_lib.Caller(
             self.site.hosts[3].callers, deployment.tenant_key("o1")
         )
@@ -182,22 +182,22 @@
         )
         self.assertEqual(scoped, [])
 
-    async def test_refused_request_is_explained_after_its_host_is_gone(self):
+    async def test_record_of_a_refused_request_outlives_its_router(self):
         host = self.site.hosts[2]
         caller = caller_lib.Caller(host.callers, deployment.tenant_key("o1"))
 
-        async def claimed():
-            answer = await caller.ask(CHAT, 3, headers=once("gone"))
+        async def is_claimed():
+            answer = await caller.ask(CHAT, 3, headers=once_headers("gone"))
             return answer.complete
 
-        await site_lib.wait_until(claimed)
-        again = await caller.ask(CHAT, 3, headers=once("gone"))
+        await site_lib.wait_until(is_claimed)
+        again = await caller.ask(CHAT, 3, headers=once_headers("gone"))
         await caller.close()
         self.assertEqual(again.error["code"], "already_claimed")
         admin = self.site.hosts[0].admin
         path = f"/v1/records?request_id={again.request_id}"
 
-        async def archived():
+        async def is_archived():
             address = self.site.log.addresses["standin"]
             page = await self.site.client.get(
                 f"http://{address}/streams/records-dc2/records"
@@ -205,7 +205,7 @@
             return again.request_id in page.text
 
         host.router.stop()
-        await site_lib.wait_until(archived)
+        await site_lib.wait_until(is_archived)
         found = await self.site.call(admin, "GET", path)
         self.assertEqual(found[0]["code"], "already_claimed")
         other = await self.site.call(
@@ -223,7 +223,9 @@
             caller = caller_lib.Caller(
                 host.callers, deployment.tenant_key("o1")
             )
-            answers.append(await caller.ask(CHAT, 3, headers=once("once")))
+            answers.append(
+                await caller.ask(CHAT, 3, headers=once_headers("once"))
+            )
             await caller.close()
 
         async with anyio.create_task_group() as group:
@@ -234,38 +236,40 @@
         self.assertEqual(len(complete), 1)
         self.assertEqual(codes, {"already_claimed"})
 
-    async def test_key_of_a_request_that_did_not_run_is_free_again(self):
+    async def test_key_of_a_request_that_did_not_run_can_be_claimed_again(self):
         engine = self.site.engines["dc1-runner0"]
         caller = caller_lib.Caller(
             self.site.hosts[0].callers, deployment.tenant_key("o1")
         )
 
-        async def claimed():
-            return (await caller.ask(CHAT, 3, headers=once("w"))).complete
+        async def is_claimed():
+            return (
+                await caller.ask(CHAT, 3, headers=once_headers("w"))
+            ).complete
 
-        await site_lib.wait_until(claimed)
+        await site_lib.wait_until(is_claimed)
         await self.site.control_standin(engine, {"refusing": True})
-        refused = await caller.ask(CHAT, 3, headers=once("freed"))
+        refused = await caller.ask(CHAT, 3, headers=once_headers("freed"))
         await self.site.control_standin(engine, {"refusing": False})
         self.assertEqual(refused.run, "not_run")
-        again = await caller.ask(CHAT, 3, headers=once("freed"))
-        third = await caller.ask(CHAT, 3, headers=once("freed"))
+        again = await caller.ask(CHAT, 3, headers=once_headers("freed"))
+        third = await caller.ask(CHAT, 3, headers=once_headers("freed"))
         await caller.close()
         self.assertTrue(again.complete)
         self.assertEqual(third.error["code"], "already_claimed")
 
-    async def test_no_claim_no_run_while_the_log_is_down(self):
-        await self.log(down=True)
+    async def test_request_with_a_key_is_refused_while_the_log_is_down(self):
+        await self.set_log_faults(down=True)
         await anyio.sleep(3.0)
         caller = caller_lib.Caller(
             self.site.hosts[0].callers, deployment.tenant_key("o1")
         )
-        answer = await caller.ask(CHAT, 3, headers=once("other"))
+        answer = await caller.ask(CHAT, 3, headers=once_headers("other"))
         await caller.close()
         self.assertEqual(answer.error["code"], "claim_unavailable")
         self.assertEqual(answer.run, "not_run")
 
-    async def test_wrong_secret_and_garbage_are_refused(self):
+    async def test_links_with_a_wrong_secret_or_invalid_data_are_refused(self):
         host = self.site.hosts[0]
         identity = link.Identity("router", "x", "dc1", "i")
         with self.assertRaises(Exception) as caught:
@@ -282,14 +286,14 @@
 
 
 class LogHistoryTest(unittest.IsolatedAsyncioTestCase):
-    """A log that is truncated, or comes back older."""
+    """Tests with a log that is truncated or restored to an older state."""
 
     async def asyncSetUp(self):
         group = self.enterContext(processes.ProcessGroup())
         self.site = site_lib.Site(group, 1, 2, 1, snapshot_every=5)
         self.addAsyncCleanup(self.site.close)
         await self.site.start()
-        # So slow that changes overtake the first snapshot.
+        # The log is slow enough for changes to overtake the first snapshot.
         await self.site.control_standin(self.site.log, {"slow_s": 0.12})
         values = self.site.objects([f"o{n}" for n in range(8)])
         self.answers = await self.site.publish(values)
@@ -304,11 +308,11 @@
         )
         return page.json()["records"]
 
-    async def covering_snapshot(self):
-        """Returns the offset of a snapshot that holds all before it.
+    async def complete_snapshot_offset(self):
+        """Returns the offset of a snapshot that covers all records before it.
 
-        Records may overtake a snapshot on its way to the log; one must come
-        that nothing overtook.
+        Returns None while there is none: records may overtake a snapshot while
+        it is appended to the log, which then does not cover them.
         """
         for record in await self.records():
             change = json.loads(record["payload"])
@@ -318,11 +322,11 @@
         return None
 
     async def test_new_host_starts_from_a_snapshot_of_a_truncated_log(self):
-        async def snapshot_written():
-            return await self.covering_snapshot() is not None
+        async def has_snapshot():
+            return await self.complete_snapshot_offset() is not None
 
-        await site_lib.wait_until(snapshot_written)
-        offset = await self.covering_snapshot()
+        await site_lib.wait_until(has_snapshot)
+        offset = await self.complete_snapshot_offset()
         for host in self.site.hosts:
             host.kill()
         await self.site.control_standin(
@@ -335,19 +339,19 @@
         found = await self.site.call(host.admin, "GET", "/v1/objects")
         self.assertEqual(len(found), len(self.answers))
 
-    async def test_older_log_is_refused_and_nothing_reverts(self):
+    async def test_log_that_went_back_is_refused_and_configuration_stays(self):
         await self.site.control_standin(
             self.site.log, {"rollback": {"configuration": 2}}
         )
 
-        async def noticed():
+        async def is_older_log_detected():
             states = [
                 (await self.site.call(h.admin, "GET", "/v1/status"))["log"]
                 for h in self.site.hosts
             ]
             return states == ["older", "older"]
 
-        await site_lib.wait_until(noticed)
+        await site_lib.wait_until(is_older_log_detected)
         host = self.site.hosts[0]
         host.kill()
         self.site.start_control(host)
--- a/tests/programs/test_ctl.py
+++ b/tests/programs/test_ctl.py
@@ -1,4 +1,4 @@
-"""Tests of the command lines as operators use them."""
+"""Tests of the command lines that operators use, with real processes."""
 
 from concurrent import futures
 import json
@@ -19,9 +19,9 @@
 PROGRAMS = ("router", "control", "ctl", "standin", "bench")
 
 
-def run(program, *words, key=site_lib.OPERATOR_KEY):
+def run(program, *arguments, key=site_lib.OPERATOR_KEY):
     return subprocess.run(
-        [sys.executable, "-m", f"hillthread.programs.{program}", *words],
+        [sys.executable, "-m", f"hillthread.programs.{program}", *arguments],
         env={**os.environ, "HILLTHREAD_KEY": key, "PAGER": "cat"},
         capture_output=True,
         text=True,
@@ -31,7 +31,7 @@
 
 
 class CtlTest(unittest.IsolatedAsyncioTestCase):
-    """One host and one engine; only one test changes objects."""
+    """Tests share one host and one engine; only one test changes objects."""
 
     @classmethod
     def setUpClass(cls):
@@ -48,11 +48,11 @@
         self.site.client = httpx.AsyncClient(trust_env=False, timeout=15.0)
         self.addAsyncCleanup(self.site.close)
 
-    def ctl(self, *words, **options):
+    def ctl(self, *arguments, **options):
         admin = self.site.hosts[0].admin
-        return run("ctl", f"--address={admin}", *words, **options)
+        return run("ctl", f"--address={admin}", *arguments, **options)
 
-    async def test_an_operators_day(self):
+    async def test_usual_commands_of_an_operator(self):
         values = self.site.objects(["o1"])
         file = self.group.write_json("all.json", values)
         applied = self.ctl("apply", file)
@@ -81,9 +81,9 @@
         )
         answer = await caller.ask(CHAT, 2)
         await caller.close()
-        told = self.ctl("explain", answer.request_id).stdout
-        self.assertIn("went to dc1-runner0", told)
-        self.assertIn("Outcome: answered, run: ran", told)
+        explained = self.ctl("explain", answer.request_id).stdout
+        self.assertIn("went to dc1-runner0", explained)
+        self.assertIn("Outcome: answered, run: ran", explained)
         listed = self.ctl("records", "--tenant=o1").stdout
         self.assertIn(answer.request_id, listed)
         self.assertEqual(self.ctl("records", "--tenant=o2").stdout, "")
@@ -109,11 +109,11 @@
                 self.assertEqual(shown.returncode, 0)
                 self.assertIn("SYNOPSIS", shown.stdout + shown.stderr)
 
-    def test_wrong_settings_name_path_and_remedy(self):
+    def test_invalid_settings_are_reported_with_path_and_remedy(self):
         with processes.ProcessGroup() as group:
             path = group.write_json("bad.json", {"host": 5})
             for program in ("router", "control"):
-                ended = run(program, f"--settings={path}")
-                self.assertEqual(ended.returncode, 2)
-                self.assertIn("$.host", ended.stderr)
-                self.assertIn("Remedy", ended.stderr)
+                finished = run(program, f"--settings={path}")
+                self.assertEqual(finished.returncode, 2)
+                self.assertIn("$.host", finished.stderr)
+                self.assertIn("Remedy", finished.stderr)
--- a/tests/programs/test_gateway.py
+++ b/tests/programs/test_gateway.py
@@ -1,4 +1,4 @@
-"""Tests of the gateway as a process: signals, settings, exit codes."""
+"""Tests of the gateway as a process: signals, settings and exit codes."""
 
 import json
 import pathlib
@@ -32,7 +32,7 @@
         self.path.write_text(text)
 
     def start(self, *arguments):
-        """Returns the program, or what `arguments` of Python start."""
+        """Starts the gateway, or Python with `arguments`."""
         program = [
             "-m",
             "hillthread.programs.gateway",
@@ -61,7 +61,7 @@
             time.sleep(0.02)
         raise AssertionError(f"no event {name} in {self.log.read_text()}")
 
-    def test_hangup_takes_over_settings_and_ends_nothing(self):
+    def test_sighup_reloads_settings_without_stopping(self):
         process = self.start()
         self.wait_event("readiness")
         self.write({**self.settings, "retry_extra": 7, "host": "h2"})
@@ -73,13 +73,13 @@
         self.wait_event("reload_failed")
         self.assertIsNone(process.poll())
 
-    def test_changed_file_is_taken_over_without_a_signal(self):
+    def test_changed_settings_file_is_reloaded_without_a_signal(self):
         self.start()
         self.wait_event("readiness")
         self.write({**self.settings, "retry_extra": 7})
         self.wait_event("reload")
 
-    def test_termination_is_a_planned_stop(self):
+    def test_sigterm_starts_a_planned_stop(self):
         process = self.start()
         self.wait_event("readiness")
         process.send_signal(signal.SIGTERM)
@@ -88,7 +88,7 @@
         self.assertIn("stop_notice", names)
         self.assertEqual(names[-1], "stop_drained")
 
-    def test_signals_during_a_stop_cut_nothing(self):
+    def test_signals_during_a_stop_do_not_interrupt_it(self):
         self.write({**self.settings, "grace_s": 2.0})
         process = self.start()
         self.wait_event("readiness")
@@ -100,8 +100,12 @@
         self.assertEqual(process.wait(_WAIT_S), 0)
         self.wait_event("stop_drained")
 
-    def test_hangup_before_the_settings_are_read_ends_nothing(self):
-        """The settings may change as soon as the process has started."""
+    def test_sighup_before_the_settings_are_read_is_ignored(self):
+        """Guards against a SIGHUP that terminates a starting process.
+
+        Settings may change, and SIGHUP be sent, before the handler of the
+        signal is installed.
+        """
         program = (
             "import os, signal\n"
             "from hillthread import settings\n"
@@ -118,7 +122,7 @@
         process.send_signal(signal.SIGTERM)
         self.assertEqual(process.wait(_WAIT_S), 0)
 
-    def test_wrong_settings_end_it_with_the_field_named(self):
+    def test_invalid_settings_exit_with_the_name_of_the_field(self):
         self.write({**self.settings, "listen": 7})
         result = subprocess.run(
             [
--- a/tests/programs/test_router.py
+++ b/tests/programs/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of the whole path with real processes."""
+"""Tests of requests through the router, with real processes."""
 
 import time
 import unittest
@@ -19,7 +19,7 @@
 
 
 class RouterTest(unittest.IsolatedAsyncioTestCase):
-    """One router, two engines and a plain service for all tests."""
+    """Tests share one router, two engines and a plain service."""
 
     @classmethod
     def setUpClass(cls):
@@ -78,7 +78,7 @@
             )
         return page.json()
 
-    async def test_streams_are_whole_and_land_warm(self):
+    async def test_streams_are_complete_and_use_cached_prefixes(self):
         answers = [await self.caller.ask(chat(f"q{n}"), 6) for n in range(4)]
         for number, answer in enumerate(answers):
             expected = caller_lib.expected_text(chat(f"q{number}"), 6, "w1")
@@ -90,12 +90,12 @@
                          answers[-1].cached_tokens)  # fmt: skip
         self.assertEqual(records[0]["run"], "ran")
 
-    async def test_whole_answers(self):
+    async def test_answers_without_streaming(self):
         answer = await self.caller.ask_whole(chat("w"), 5)
         expected = caller_lib.expected_text(chat("w"), 5, "w1")
         self.assertEqual(answer.text, expected)
 
-    async def test_organisations_share_nothing(self):
+    async def test_organisations_share_no_cache(self):
         text = [{"role": "system", "content": "only once " * 300}]
         await self.caller.ask(text, 2)
         other = caller_lib.Caller(self.address, deployment.tenant_key("o2"))
@@ -124,7 +124,7 @@
         self.assertEqual(unknown.json()["error"]["run"], "not_run")
         self.assertTrue(unknown.json()["error"]["remedy"])
 
-    async def test_caller_that_leaves_stops_the_engine(self):
+    async def test_request_is_cancelled_when_the_caller_disconnects(self):
         body = {
             "model": "m1",
             "stream": True,
@@ -150,7 +150,7 @@
         self.assertEqual(records[0]["outcome"], "left")
         self.assertEqual(records[0]["run"], "ran")
 
-    async def test_records_are_not_open_to_all(self):
+    async def test_records_require_the_shared_secret(self):
         status = self.router.addresses["status"]
         url = f"http://{status}/v1/records"
         key = deployment.tenant_key("o1")
