--- a/hillthread/__init__.py
+++ b/hillthread/__init__.py
@@ -1,12 +1,12 @@
-"""hillthread routes language-model requests to targets whose prompt is warm.
+"""Routes language-model requests to targets that have cached their prompts.
 
-The package is layered; a layer imports only those named before it:
+The package is layered; a layer imports only layers listed before it:
 
-* `hillthread.state`: pure state machines, no input or output, no clock;
-* `hillthread.protocol`: message shapes and their codecs;
-* `hillthread.transport`: sockets, HTTP and websockets, through libraries;
-* `hillthread.coordination`: the decisions and how hosts act together;
-* `hillthread.standin`, `hillthread.bench`: fakes and measurements;
+* `hillthread.state`: state machines without input, output or a clock;
+* `hillthread.protocol`: message types and their codecs;
+* `hillthread.transport`: sockets, HTTP and websockets;
+* `hillthread.coordination`: routing decisions and coordination of hosts;
+* `hillthread.standin`, `hillthread.bench`: test doubles and benchmarks;
 * `hillthread.programs`: the command lines.
 """
 
--- a/hillthread/clock.py
+++ b/hillthread/clock.py
@@ -1,8 +1,8 @@
-"""The clock on which all ages and deadlines are counted.
+"""The clock for all ages and deadlines, which counts suspended time.
 
-It goes on while the host is suspended. The steady clock stands still then: on
-waking, keys withdrawn meanwhile would seem freshly proven, a lease would seem
-to be held still, and requests to have time left.
+The monotonic clock stops while the host is suspended. With it, after a resume,
+keys revoked in the meantime would look recently verified, an expired lease
+would look held, and requests would look as if they had time remaining.
 """
 
 from __future__ import annotations
@@ -17,31 +17,31 @@
 
 __all__ = ["EventLoop", "now", "run"]
 
-# Elsewhere than on Linux the steady clock is the best there is.
+# CLOCK_BOOTTIME exists on Linux only; elsewhere the monotonic clock is used.
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-# What the host was suspended before this process began is left out, so that
-# times compare with those of libraries, which know the steady clock only.
-_AHEAD_S = time.clock_gettime(_BOOT_CLOCK) - time.monotonic()
+# Suspended time before the start of this process is subtracted, so that times
+# are comparable with those of libraries, which use the monotonic clock.
+_BOOT_OFFSET_S = time.clock_gettime(_BOOT_CLOCK) - time.monotonic()
 
 
 def now() -> float:
-    """Returns seconds; they do not go back, and count suspended time."""
-    return time.clock_gettime(_BOOT_CLOCK) - _AHEAD_S
+    """Returns the time in seconds; it never goes back."""
+    return time.clock_gettime(_BOOT_CLOCK) - _BOOT_OFFSET_S
 
 
 class EventLoop(asyncio.SelectorEventLoop):
-    """A loop whose timers and deadlines are due by this clock.
+    """An event loop whose timers and deadlines use this clock.
 
-    On waking, those that became due meanwhile fire as soon as anything wakes
-    the loop: the kernel's own wait counts steady time. Programs look after
-    themselves some times a second, which bounds that delay.
+    Timers that expired during a suspension fire when the loop wakes up next:
+    the kernel's wait does not count suspended time. The programs' periodic
+    tasks run several times a second, which bounds the delay.
     """
 
     def time(self) -> float:
-        """Returns seconds."""
+        """Returns the time in seconds."""
         return now()
 
 
 def run(main: Callable[..., Awaitable[Any]], *args: Any) -> Any:
-    """Runs an async function on such a loop, and returns what it returns."""
+    """Runs an async function on an `EventLoop` and returns its result."""
     return anyio.run(main, *args, backend_options={"loop_factory": EventLoop})
--- a/hillthread/errors.py
+++ b/hillthread/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors: each has a stable code and a message that names the remedy."""
+"""Typed errors with a stable code, a message and a remedy."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
     """The base of all errors raised by hillthread.
 
     Attributes:
-        code: A stable identifier in snake case, safe to match on.
-        message: What is wrong, in one sentence.
-        remedy: What the reader can do about it.
+        code: A stable identifier in snake case that programs may match.
+        message: One sentence that describes the error.
+        remedy: What the reader can do about the error.
     """
 
     code = "internal_error"
@@ -52,7 +52,7 @@
 
 
 class SelectorError(HillthreadError):
-    """A label selector does not parse."""
+    """A label selector cannot be parsed."""
 
     code = "invalid_selector"
 
@@ -64,25 +64,25 @@
 
 
 class ConflictError(HillthreadError):
-    """An object changed since the version the caller expected."""
+    """An object has another version than the caller expected."""
 
     code = "version_conflict"
 
 
 class NotFoundError(HillthreadError):
-    """What was asked for is not known."""
+    """The requested object or record is unknown."""
 
     code = "not_found"
 
 
 class LogError(HillthreadError):
-    """The platform's log cannot be reached, or answered with an error."""
+    """The platform's log is unreachable or answered with an error."""
 
     code = "log_unavailable"
 
 
 class BusyError(LogError):
-    """What was asked answered that it takes no more calls now."""
+    """The service answered that it accepts no more calls for now."""
 
     code = "busy"
 
@@ -100,11 +100,11 @@
 
 
 class RefusalError(HillthreadError):
-    """A caller's request that is answered with an error.
+    """A caller's request is answered with an error.
 
     Attributes:
-        code: The refusal's code, part of the callers' interface.
-        status: The HTTP status of the answer.
+        code: Error code in the answer, part of the public API.
+        status: HTTP status code of the answer.
         run: Whether a target ran the request.
         retry_after_s: Seconds after which a retry may help, or None.
     """
--- a/hillthread/settings.py
+++ b/hillthread/settings.py
@@ -1,4 +1,7 @@
-"""Settings files: JSON, checked at the start, errors name path and remedy."""
+"""JSON settings files, validated at startup.
+
+Errors contain the path of the invalid field and a remedy.
+"""
 
 from __future__ import annotations
 
@@ -34,25 +37,25 @@
 class SettingsStruct(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """The base of all settings: unknown fields are errors."""
+    """The base of all settings, which rejects unknown fields."""
 
 
 class TlsSettings(SettingsStruct, frozen=True, kw_only=True):
-    """Paths of a certificate and its key, in PEM."""
+    """Paths of a certificate and its private key, both in PEM format."""
 
     certificate: str
     key: str
 
 
 class CallerLimits(SettingsStruct, frozen=True, kw_only=True):
-    """Bounds on what callers send.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        max_body_bytes: Size of a request's body.
-        max_header_bytes: Size of a request's head.
-        max_concurrency: Requests served at once.
-        read_timeout_s: For a head or body to come in.
-        keep_alive_s: For an idle connection.
+        max_body_bytes: Maximum size of a request's body.
+        max_header_bytes: Maximum size of a request's head.
+        max_concurrency: Maximum number of requests served at once.
+        read_timeout_s: Timeout for receiving a head or a body.
+        keep_alive_s: Timeout after which an idle connection is closed.
     """
 
     max_body_bytes: Count = 8_388_608
@@ -66,24 +69,27 @@
     """Settings of `hillthread-router`.
 
     Attributes:
-        host: This host's name, unique.
-        data_centre: Where it runs.
-        listen: Where callers connect; port 0 lets the system choose.
-        status_listen: Where health, metrics and records are served.
-        control: The address of this host's control process, or None.
-        configuration_file: A file of objects, used without a control.
-        secret: Shared by all processes of the system.
-        tls: For callers, or None for plain HTTP.
-        limits: Bounds on callers.
-        records: Decision records kept.
-        connect_timeout_s: To a target.
-        first_byte_timeout_s: From a sent request to the first byte.
-        idle_timeout_s: Between two parts of an answer.
-        notice_s: After SIGTERM, serving goes on for the balancer to notice.
-        drain_s: Then open requests have this long to end.
-        max_event_bytes: Size of one server-sent event.
-        share_every_s: Least time between two messages that tell other routers
-            what was placed.
+        host: Unique name of this host.
+        data_centre: Data centre of this host.
+        listen: Address for callers; with port 0 the system assigns a port.
+        status_listen: Address for health, metrics and decision records.
+        control: Address of this host's control process, or None.
+        configuration_file: File of configuration objects, for use without a
+            control process.
+        secret: Secret shared by all processes of the system.
+        tls: Certificate for callers, or None for plain HTTP.
+        limits: Limits on callers.
+        records: Maximum number of decision records kept in memory.
+        connect_timeout_s: Timeout for connecting to a target.
+        first_byte_timeout_s: Timeout from sending a request to the first byte
+            of the answer.
+        idle_timeout_s: Timeout between two parts of an answer.
+        notice_s: Time after SIGTERM in which requests are still accepted while
+            load balancers notice that the router is not ready.
+        drain_s: Time after that for open requests to complete.
+        max_event_bytes: Maximum size of one server-sent event.
+        share_every_s: Least time between two messages that notify other routers
+            of placed requests.
     """
 
     host: str
@@ -106,7 +112,7 @@
 
 
 class PeerSettings(SettingsStruct, frozen=True, kw_only=True):
-    """One other host's control process."""
+    """The control process of another host."""
 
     host: str
     data_centre: str
@@ -114,7 +120,7 @@
 
 
 class OperatorSettings(SettingsStruct, frozen=True, kw_only=True):
-    """One operator: the digest of the key and what it may do."""
+    """An operator, with the SHA-256 digest of its key and its role."""
 
     name: str
     key_digest: Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
@@ -125,22 +131,22 @@
     """Settings of `hillthread-control`.
 
     Attributes:
-        host: This host's name, unique.
-        data_centre: Where it runs.
-        listen: For this host's router and for peers (websockets).
-        admin_listen: For operators, and for health and metrics.
+        host: Unique name of this host.
+        data_centre: Data centre of this host.
+        listen: Address for websocket links of this host's router and of peers.
+        admin_listen: Address of the admin API, health and metrics.
         log: Address of the platform's log, or None when it has none.
         host_list: Address of the platform's host list, or None.
-        stream: The log's stream of configuration records.
-        peers: All other hosts known at the start.
-        operators: Who may use the admin API.
-        secret: Shared by all processes of the system.
+        stream: Name of the log's stream of configuration records.
+        peers: All other hosts known at startup.
+        operators: Operators who may use the admin API.
+        secret: Secret shared by all processes of the system.
         poll_s: First pause after a failed read of the log.
-        snapshot_every: Records after which a snapshot is appended.
-        heartbeat_s: Between two heartbeats to a peer.
-        suspect_s: Silence after which a peer counts as lost.
-        load_poll_s: Between two load reports of one target.
-        lease_ttl_s: Time to live of the lease on giving orders.
+        snapshot_every: Number of records after which a snapshot is appended.
+        heartbeat_s: Interval of heartbeats to a peer.
+        suspect_s: Time without messages after which a peer counts as lost.
+        load_poll_s: Interval of load reports of one target.
+        lease_ttl_s: Time to live of the lease that allows giving orders.
     """
 
     host: str
@@ -168,8 +174,8 @@
     """Returns the settings in a JSON file.
 
     Raises:
-        SettingsError: The file cannot be read, or a field is wrong; the
-            message has the field's path in the file.
+        SettingsError: The file cannot be read or a field is invalid; the
+            message contains the path of the field.
     """
     try:
         raw = pathlib.Path(path).read_bytes()
@@ -188,6 +194,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Returns the IP number and the port of an address."""
+    """Splits an `IP:port` address into its IP address and port."""
     ip, _, port = address.rpartition(":")
     return ip, int(port)
--- a/hillthread/transport/__init__.py
+++ b/hillthread/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, HTTP and websockets, all through libraries."""
+"""Sockets, HTTP and websockets, implemented with libraries."""
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""Every example file is valid."""
+"""Tests that every example file is valid."""
 
 import pathlib
 import unittest
@@ -27,12 +27,12 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_settings(self):
+    def test_settings_files_are_valid(self):
         for name, kind in KINDS.items():
             with self.subTest(name):
                 settings.load_settings(str(EXAMPLES / name), kind)
 
-    def test_objects_route_requests(self):
+    def test_object_files_route_requests(self):
         for path in EXAMPLES.glob("objects-*.json"):
             with self.subTest(path.name):
                 values = configuration_file.load_objects(str(path))
@@ -44,12 +44,12 @@
                 self.assertEqual(found.targets[0].name, "runner1")
                 self.assertNotEqual(found.policy.name, "default")
 
-    def test_all_files_are_known(self):
+    def test_every_example_file_is_tested(self):
         names = {path.name for path in EXAMPLES.iterdir()}
         known = set(KINDS) | {p.name for p in EXAMPLES.glob("objects-*")}
         self.assertEqual(names, known)
 
-    def test_errors_name_path_and_remedy(self):
+    def test_settings_errors_contain_field_and_remedy(self):
         bad = EXAMPLES / "standin-log.json"
         with self.assertRaises(errors.SettingsError) as caught:
             settings.load_settings(str(bad), settings.RouterSettings)
