--- a/hillthread/transport/http1.py
+++ b/hillthread/transport/http1.py
@@ -33,8 +33,8 @@
 
 _GRACEFUL_CLOSE_S = 0.5
 # A dead peer is detected by unacknowledged bytes (TCP_USER_TIMEOUT) and by
-# unanswered keepalive probes. The kernel retransmits two packets lost in a row
-# within the timeout for targets.
+# unanswered keepalive probes. Two packets lost in a row are retransmitted
+# within these times.
 TARGET_USER_TIMEOUT_MS = 1_000
 CALLER_USER_TIMEOUT_MS = 5_000
 _KEEPALIVE_IDLE_S = 1
--- a/hillthread/transport/http1_client.py
+++ b/hillthread/transport/http1_client.py
@@ -160,9 +160,13 @@
         try:
             await self.send(events)
         except http1.ConnectionLostError as error:
-            raise CallError(True, f"lost while sending: {error}") from error
+            raise CallError(
+                True, f"connection lost while sending: {error}"
+            ) from error
         except h11.LocalProtocolError as error:
-            raise CallError(False, f"cannot be sent: {error}") from error
+            raise CallError(
+                False, f"request cannot be sent: {error}"
+            ) from error
 
     async def send_body(self, request: ClientRequest) -> None:
         """Sends the body of a request whose head was sent.
@@ -190,11 +194,15 @@
                     case h11.Response():
                         return self._decode_head(event)
                     case _:
-                        raise CallError(True, "closed before an answer")
+                        raise CallError(
+                            True, "connection closed before an answer"
+                        )
         except http1.ConnectionLostError as error:
-            raise CallError(True, f"lost before an answer: {error}") from error
+            raise CallError(
+                True, f"connection lost before an answer: {error}"
+            ) from error
         except _PROTOCOL_ERRORS as error:
-            raise CallError(True, f"not an HTTP answer: {error}") from error
+            raise CallError(True, f"invalid HTTP answer: {error}") from error
 
     async def read_part(self) -> bytes:
         """Returns the next part of the answer's body; nothing at its end.
@@ -212,11 +220,11 @@
                     case h11.EndOfMessage():
                         return b""
                     case _:
-                        raise CallError(True, "answer broke off")
+                        raise CallError(True, "answer truncated")
         except http1.ConnectionLostError as error:
-            raise CallError(True, f"answer cut: {error}") from error
+            raise CallError(True, f"answer truncated: {error}") from error
         except _PROTOCOL_ERRORS as error:
-            raise CallError(True, f"answer broke off: {error}") from error
+            raise CallError(True, f"answer body invalid: {error}") from error
 
     async def read_body(self, limit: int) -> bytes:
         """Returns the whole body of an answer.
@@ -437,14 +445,17 @@
         connecting is tried once more.
         """
         ip, port = settings_lib.split_address(address)
-        for last in (False, True):
+        for is_last_attempt in (False, True):
             began_at = anyio.current_time()
             try:
                 with anyio.fail_after(self.connect_timeout_s):
                     return await byte_stream.open_connection(ip, port)
             except TimeoutError:
-                late_s = anyio.current_time() - began_at
-                if last or late_s < self.connect_timeout_s + _TIMER_DELAY_S:
+                elapsed_s = anyio.current_time() - began_at
+                if (
+                    is_last_attempt
+                    or elapsed_s < self.connect_timeout_s + _TIMER_DELAY_S
+                ):
                     raise
         raise AssertionError("not reached")
 
--- a/hillthread/transport/http1_server.py
+++ b/hillthread/transport/http1_server.py
@@ -28,8 +28,8 @@
 # Additional time before a connection that was idle for too long is closed, so
 # that a request that has just arrived is still served.
 _CLOSE_GRACE_S = 0.05
-# Pause after an error in accepting, in which the idle connection that is closed
-# to free its descriptor ends.
+# Pause after an error in accepting. An idle connection that is closed to free
+# its descriptor needs this time to end.
 _ACCEPT_RETRY_S = 0.1
 # Least time between two log lines about such errors.
 _ACCEPT_LOG_INTERVAL_S = 1.0
@@ -302,7 +302,7 @@
                 _check_framing(event)
                 return event
             return None
-        raise _BadRequestError(408, "the head took too long")
+        raise _BadRequestError(408, "timed out while reading the head")
 
     async def _receive_first(self) -> bytes:
         """Returns the first bytes of a request, or none on close or timeout."""
@@ -350,11 +350,15 @@
                 case h11.EndOfMessage():
                     return b"".join(parts)
                 case None:
-                    raise _BadRequestError(408, "the body took too long")
+                    raise _BadRequestError(
+                        408, "timed out while reading the body"
+                    )
                 case _:
-                    raise http1.ConnectionLostError("caller left")
+                    raise http1.ConnectionLostError(
+                        "caller closed the connection"
+                    )
             if size > self.bounds.max_body_bytes:
-                raise _BadRequestError(413, "the body is too large")
+                raise _BadRequestError(413, "body too large")
 
     async def _refuse(self, error: _BadRequestError) -> None:
         """Answers a request that could not be read, then closes."""
@@ -545,4 +549,4 @@
     """
     names = [bytes(name) for name, _ in head.headers]
     if b"content-length" in names and b"transfer-encoding" in names:
-        raise _BadRequestError(400, "both a length and chunks")
+        raise _BadRequestError(400, "both content-length and transfer-encoding")
--- a/hillthread/transport/http_server.py
+++ b/hillthread/transport/http_server.py
@@ -86,7 +86,10 @@
             message = await self.receive()
             if message["type"] == "http.disconnect":
                 raise errors.RefusalError(
-                    "caller_left", 499, "The caller left.", "Send it again."
+                    "caller_left",
+                    499,
+                    "The caller closed the connection.",
+                    "Send the request again.",
                 )
             chunks.append(message.get("body", b""))
             size += len(chunks[-1])
--- a/hillthread/transport/link.py
+++ b/hillthread/transport/link.py
@@ -246,5 +246,5 @@
 def _link_closed_error(peer_name: str) -> errors.PeerError:
     return errors.PeerError(
         f"The link to {peer_name} is closed or cannot be opened.",
-        "Check that the process runs and can be reached.",
+        "Check that the process runs and is reachable.",
     )
--- a/tests/programs/test_orders.py
+++ b/tests/programs/test_orders.py
@@ -89,4 +89,4 @@
             page = await self.site.client.get(f"http://{host.admin}/metrics")
             if 'hillthread_orders_total{outcome="done"}' in page.text:
                 return host
-        raise AssertionError("nobody gave an order")
+        raise AssertionError("no host gave an order")
