--- a/hillthread/transport/byte_stream.py
+++ b/hillthread/transport/byte_stream.py
@@ -70,9 +70,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Records that the connection is closed, and why."""
-        self._connection_error = exc or ConnectionAbortedError(
-            "connection closed locally"
-        )
+        self._connection_error = exc or ConnectionAbortedError("closed here")
         self._writable.set()
         self._record_peer_closed()
 
@@ -118,7 +116,7 @@
         if self._connection_error is not None:
             raise self._connection_error
         if self._transport.is_closing():
-            raise ConnectionAbortedError("connection closed locally")
+            raise ConnectionAbortedError("closed here")
         self._transport.write(data)
         await self._writable.wait()
         if self._connection_error is not None:
--- a/hillthread/transport/http1_client.py
+++ b/hillthread/transport/http1_client.py
@@ -160,13 +160,9 @@
         try:
             await self.send(events)
         except http1.ConnectionLostError as error:
-            raise CallError(
-                True, f"connection lost while sending: {error}"
-            ) from error
+            raise CallError(True, f"lost while sending: {error}") from error
         except h11.LocalProtocolError as error:
-            raise CallError(
-                False, f"request cannot be sent: {error}"
-            ) from error
+            raise CallError(False, f"cannot be sent: {error}") from error
 
     async def send_body(self, request: ClientRequest) -> None:
         """Sends the body of a request whose head was sent.
@@ -194,15 +190,11 @@
                     case h11.Response():
                         return self._decode_head(event)
                     case _:
-                        raise CallError(
-                            True, "connection closed before an answer"
-                        )
+                        raise CallError(True, "closed before an answer")
         except http1.ConnectionLostError as error:
-            raise CallError(
-                True, f"connection lost before an answer: {error}"
-            ) from error
+            raise CallError(True, f"lost before an answer: {error}") from error
         except _PROTOCOL_ERRORS as error:
-            raise CallError(True, f"invalid HTTP answer: {error}") from error
+            raise CallError(True, f"not an HTTP answer: {error}") from error
 
     async def read_part(self) -> bytes:
         """Returns the next part of the answer's body; nothing at its end.
@@ -220,11 +212,11 @@
                     case h11.EndOfMessage():
                         return b""
                     case _:
-                        raise CallError(True, "answer truncated")
+                        raise CallError(True, "answer broke off")
         except http1.ConnectionLostError as error:
-            raise CallError(True, f"answer truncated: {error}") from error
+            raise CallError(True, f"answer cut: {error}") from error
         except _PROTOCOL_ERRORS as error:
-            raise CallError(True, f"answer body invalid: {error}") from error
+            raise CallError(True, f"answer broke off: {error}") from error
 
     async def read_body(self, limit: int) -> bytes:
         """Returns the whole body of an answer.
--- a/hillthread/transport/http1_server.py
+++ b/hillthread/transport/http1_server.py
@@ -302,7 +302,7 @@
                 _check_framing(event)
                 return event
             return None
-        raise _BadRequestError(408, "timed out while reading the head")
+        raise _BadRequestError(408, "the head took too long")
 
     async def _receive_first(self) -> bytes:
         """Returns the first bytes of a request, or none on close or timeout."""
@@ -350,15 +350,11 @@
                 case h11.EndOfMessage():
                     return b"".join(parts)
                 case None:
-                    raise _BadRequestError(
-                        408, "timed out while reading the body"
-                    )
+                    raise _BadRequestError(408, "the body took too long")
                 case _:
-                    raise http1.ConnectionLostError(
-                        "caller closed the connection"
-                    )
+                    raise http1.ConnectionLostError("caller left")
             if size > self.bounds.max_body_bytes:
-                raise _BadRequestError(413, "body too large")
+                raise _BadRequestError(413, "the body is too large")
 
     async def _refuse(self, error: _BadRequestError) -> None:
         """Answers a request that could not be read, then closes."""
@@ -549,4 +545,4 @@
     """
     names = [bytes(name) for name, _ in head.headers]
     if b"content-length" in names and b"transfer-encoding" in names:
-        raise _BadRequestError(400, "both content-length and transfer-encoding")
+        raise _BadRequestError(400, "both a length and chunks")
