--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -357,7 +357,7 @@
         return hold_s
 
     async def _read_newest(self, started: float) -> None:
-        page = await self.context.client.newest(self.plan.topic)
+        page = await self.context.client.read_newest(self.plan.topic)
         records = page.records
         if self.plan.confirms_first_read and not self.copy.newest:
             records = await self._confirm_records(records)
