--- a/hillthread/bench/gateway_soak/stage.py
+++ b/hillthread/bench/gateway_soak/stage.py
@@ -61,7 +61,7 @@
         link: wire_proxy.WireProxy,
     ):
         super().__init__(name, service, model, weights)
-        self.names_requests = True
+        self.includes_request_ids = True
         self.events = verdict.EVENTS
         self.link = link
         self.link.upstream = self.server.address
@@ -304,8 +304,8 @@
             link = wire_proxy.WireProxy()
             self.tasks.start_soon(link.serve)
         target = LinkedTarget(name, service, model, version, link)
-        target.deadly = self.evidence.deadly
-        target.end = lambda: self.deadly_ran(target)
+        target.crash_bodies = self.evidence.deadly
+        target.crash = lambda: self.deadly_ran(target)
         self.targets[name] = target
         self.evidence.targets.append(target)
         self.tasks.start_soon(self._listen, target)
--- a/hillthread/bench/gateway_soak/target_faults.py
+++ b/hillthread/bench/gateway_soak/target_faults.py
@@ -202,10 +202,10 @@
                 engine.order_status = _CONFLICT
             case "late":
                 late_s = self.injector.between(_ORDERS_LATE_S)
-                engine.orders_late_s = late_s
+                engine.order_delay_s = late_s
             case "slow":
                 engine.load_s = self.injector.between(_SLOW_LOAD_S)
         await anyio.sleep(self.injector.between(_DISOBEDIENT_S))
         engine.order_status = 0
-        engine.orders_late_s = 0.0
+        engine.order_delay_s = 0.0
         engine.load_s = platform_target.LOAD_S
--- a/hillthread/bench/gateway_soak/verdict.py
+++ b/hillthread/bench/gateway_soak/verdict.py
@@ -334,7 +334,7 @@
     def _orders(self) -> Iterator[Violation]:
         """Orders come from one holder at a time, with rising fences."""
         for target in self.evidence.targets:
-            for before, after in itertools.pairwise(target.order_log):
+            for before, after in itertools.pairwise(target.timed_orders):
                 holders = {before.fields["holder"], after.fields["holder"]}
                 fences = before.fields["fence"], after.fields["fence"]
                 if fences[1] < fences[0]:
--- a/hillthread/standin/platform_target.py
+++ b/hillthread/standin/platform_target.py
@@ -282,18 +282,20 @@
         self.weights = weights
         self.events = 4
         self.behaviours: collections.deque[Behaviour] = collections.deque()
-        self.always: Behaviour = Serve()
+        self.default_behaviour: Behaviour = Serve()
         self.runs: list[Run] = []
-        self.left: list[str] = []
+        self.disconnected_requests: list[str] = []
         self.orders: list[dict[str, Any]] = []
-        self.order_log: list[Order] = []
-        self.names_requests = False
+        self.timed_orders: list[Order] = []
+        self.includes_request_ids = False
         self.order_status = 0
-        self.orders_seen = 0
-        self.lost_orders: collections.deque[float] = collections.deque()
+        self.received_order_count = 0
+        self.unanswered_order_delays_s: collections.deque[float] = (
+            collections.deque()
+        )
         self.silent = False
         self.load_s = LOAD_S
-        self.orders_late_s = 0.0
+        self.order_delay_s = 0.0
         self.busy = False
         self.cache_events: list[tuple[int, str, str, str, int, str]] = []
         self.cache_epoch = 1
@@ -305,8 +307,8 @@
         self.arrivals: list[Arrival] = []
         self.announcements: list[Announcement] = []
         self._starts = 0
-        self.deadly: Container[bytes] = frozenset()
-        self.end: Callable[[], None] = _nothing
+        self.crash_bodies: Container[bytes] = frozenset()
+        self.crash: Callable[[], None] = _nothing
         self._orders_before = 0
         self.server = self._new_server()
 
@@ -430,10 +432,10 @@
     ) -> None:
         born_ms = self.born_ms
         order = Order(msgspec.json.decode(request.body), time.monotonic())
-        self.orders_seen += 1
-        late_s = self.orders_late_s
-        if self.lost_orders:
-            late_s = self.lost_orders.popleft()
+        self.received_order_count += 1
+        late_s = self.order_delay_s
+        if self.unanswered_order_delays_s:
+            late_s = self.unanswered_order_delays_s.popleft()
         if late_s:
             await self._take_late(order, late_s, born_ms)
         if self.order_status:
@@ -467,7 +469,7 @@
         if expected != self.orders_taken or self.busy:
             return False
         self.orders.append(order.fields)
-        self.order_log.append(order)
+        self.timed_orders.append(order)
         self.busy = True
         return True
 
@@ -518,7 +520,7 @@
         request: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
     ) -> None:
-        behaviour = self.always
+        behaviour = self.default_behaviour
         if self.behaviours:
             behaviour = self.behaviours.popleft()
         if isinstance(behaviour, Refuse):
@@ -537,7 +539,7 @@
                 behaviour = Serve()
             await self._run(request, answer, behaviour)
         except (anyio.get_cancelled_exc_class(), http1.ConnectionLostError):
-            self.left.append(request_id)
+            self.disconnected_requests.append(request_id)
             raise
 
     async def _run(
@@ -548,9 +550,9 @@
     ) -> None:
         headers = self._headers(request)
         body = self._body(request)
-        if request.body in self.deadly:
+        if request.body in self.crash_bodies:
             await answer.begin(200, [*_EVENTS, *headers])
-            self.end()
+            self.crash()
             await anyio.sleep_forever()
         match behaviour:
             case Serve(delay_s):
@@ -642,7 +644,7 @@
 
     def _mark(self, request: http1_server.CallerRequest) -> bytes:
         """Returns what tells answers apart, if they are to be told apart."""
-        if not self.names_requests:
+        if not self.includes_request_ids:
             return b""
         return b" to " + request.get(b"x-request-id")
 
--- a/tests/coordination/gateway/orders/test_rollout.py
+++ b/tests/coordination/gateway/orders/test_rollout.py
@@ -67,7 +67,7 @@
         async def scenario(scene):
             first, second, *rest = _in_load_order(scene, 2)
             for engine in (first, second):
-                engine.lost_orders.extend([math.inf] * 50)
+                engine.unanswered_order_delays_s.extend([math.inf] * 50)
             scene.announce_weights(2)
             await _until_held(scene, rest, 2)
 
@@ -77,10 +77,10 @@
         async def scenario(scene):
             first, second, *_ = _in_load_order(scene, 2)
             for engine in (first, second):
-                engine.lost_orders.append(math.inf)
+                engine.unanswered_order_delays_s.append(math.inf)
             scene.announce_weights(2)
             await _until_held(scene, scene.engines, 2)
-            seen = sum(engine.orders_seen for engine in scene.engines)
+            seen = sum(engine.received_order_count for engine in scene.engines)
             self.assertEqual(seen, _ENGINES + 2)
 
         scene_lib.run_scenario(scenario, engines=_ENGINES, plain=0)
@@ -88,18 +88,18 @@
     def test_order_executed_late_is_not_sent_twice(self):
         async def scenario(scene):
             (engine,) = scene.engines
-            engine.lost_orders.append(0.3)
+            engine.unanswered_order_delays_s.append(0.3)
             scene.announce_weights(2)
             await _until_held(scene, [engine], 2)
             await anyio.sleep(1.0)
-            self.assertEqual(engine.orders_seen, 1)
+            self.assertEqual(engine.received_order_count, 1)
 
         scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_repeated_order_makes_the_late_one_fail(self):
         async def scenario(scene):
             (engine,) = scene.engines
-            engine.lost_orders.append(2.0)
+            engine.unanswered_order_delays_s.append(2.0)
             scene.announce_weights(2)
             await _until_held(scene, [engine], 2)
             await anyio.sleep(1.5)
@@ -111,9 +111,9 @@
     def test_overtaken_versions_are_skipped(self):
         async def scenario(scene):
             (engine,) = scene.engines
-            engine.lost_orders.append(math.inf)
+            engine.unanswered_order_delays_s.append(math.inf)
             scene.announce_weights(2)
-            await scene.until(lambda: engine.orders_seen == 1)
+            await scene.until(lambda: engine.received_order_count == 1)
             scene.announce_weights(3)
             await _until_held(scene, [engine], 3)
             versions = [order["version"] for order in engine.orders]
@@ -161,9 +161,9 @@
             (engine,) = scene.engines
             engine.order_status = 421
             scene.announce_weights(2)
-            await scene.until(lambda: engine.orders_seen > 0)
+            await scene.until(lambda: engine.received_order_count > 0)
             await anyio.sleep(1.0)
-            self.assertEqual(engine.orders_seen, 1)
+            self.assertEqual(engine.received_order_count, 1)
 
         scene_lib.run_scenario(scenario, engines=1, plain=0)
 
@@ -198,8 +198,8 @@
             self.assertEqual(other.contender.state.position, 1)
             scene.announce_weights(2)
             (engine,) = scene.engines
-            await scene.until(lambda: engine.order_log)
-            waited_s = engine.order_log[0].at - taken_at
+            await scene.until(lambda: engine.timed_orders)
+            waited_s = engine.timed_orders[0].at - taken_at
             self.assertGreater(waited_s, other.contender.ttl_s)
 
         scene_lib.run_scenario(scenario, engines=1, plain=0, lease_ms=_LEASE_MS)
@@ -209,22 +209,22 @@
             (engine,) = scene.engines
             engine.order_status = 412
             scene.announce_weights(2)
-            await scene.until(lambda: engine.orders_seen > 0)
+            await scene.until(lambda: engine.received_order_count > 0)
             await anyio.sleep(1.5)
-            self.assertEqual(engine.orders_seen, 1)
+            self.assertEqual(engine.received_order_count, 1)
 
         scene_lib.run_scenario(scenario, engines=1, plain=0)
 
     def test_stopping_host_does_not_acquire_the_lease(self):
         async def scenario(scene):
             (engine,) = scene.engines
-            engine.lost_orders.extend([math.inf] * 50)
+            engine.unanswered_order_delays_s.extend([math.inf] * 50)
             scene.announce_weights(2)
-            await scene.until(lambda: engine.orders_seen == 1)
+            await scene.until(lambda: engine.received_order_count == 1)
             scene.site.is_draining = scene.site.is_closing = True
             await scene.program.rollout.lease.release()
             await anyio.sleep(2.5)
-            self.assertEqual(engine.orders_seen, 1)
+            self.assertEqual(engine.received_order_count, 1)
             self.assertFalse(scene.program.rollout.lease.is_holder)
 
         scene_lib.run_scenario(scenario, engines=1, plain=0)
--- a/tests/coordination/gateway/serving/test_deadly_requests.py
+++ b/tests/coordination/gateway/serving/test_deadly_requests.py
@@ -44,7 +44,7 @@
     name = target.name
     for number in itertools.count(1):
         with anyio.CancelScope() as scope:
-            target.end = scope.cancel
+            target.crash = scope.cancel
             await target.server.serve()
         await anyio.sleep(RESTART_DELAY_S)
         scene.store.remove("keyed.servers", target.name)
@@ -57,7 +57,7 @@
     """Has the targets of a scene crash when they run the deadly body."""
     scene.listen = functools.partial(run_crashing_target, scene)
     for target in scene.targets:
-        target.deadly = {DEADLY_BODY}
+        target.crash_bodies = {DEADLY_BODY}
 
 
 async def start_hosts(scene, count=3):
@@ -101,7 +101,7 @@
         for engine in scene.engines:
             if len(engine.runs) > begun[engine]:
                 begun[engine] = len(engine.runs)
-                engine.end()
+                engine.crash()
                 count -= 1
 
 
@@ -187,7 +187,7 @@
             hosts = await start_hosts(scene, 2)
             await call_many(scene, hosts, 20, DEADLY_BODY)
             for engine in scene.engines:
-                engine.deadly = frozenset()
+                engine.crash_bodies = frozenset()
             address = hosts[0].feed_server.address
             listed = await run_quarantine_command(address)
             self.assertIn(" 3 ends, ", listed)
@@ -217,13 +217,13 @@
             hosts = await start_hosts(scene)
             for engine in scene.engines:
                 request = scene.prompt("/resume/one", body=b"harmless")
-                engine.always = platform_target.Serve(0.05)
+                engine.default_behaviour = platform_target.Serve(0.05)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(call, scene, hosts[0], request)
                     await anyio.sleep(0.05)
-                    engine.end()
+                    engine.crash()
             for engine in scene.engines:
-                engine.always = platform_target.Serve()
+                engine.default_behaviour = platform_target.Serve()
             await anyio.sleep(1.0)
             statuses = await call_many(scene, hosts, 20, b"harmless")
             self.assertEqual(statuses, [200] * 20)
@@ -241,7 +241,7 @@
         async def scenario(scene):
             hosts = await start_hosts(scene)
             for engine in scene.engines:
-                engine.always = platform_target.Serve(0.2)
+                engine.default_behaviour = platform_target.Serve(0.2)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call_many, scene, hosts, 40, b"harmless")
                 await crash_while_running(scene, 3)
@@ -252,7 +252,7 @@
                 )
                 tasks.cancel_scope.cancel()
             for engine in scene.engines:
-                engine.always = platform_target.Serve()
+                engine.default_behaviour = platform_target.Serve()
             statuses = []
             with anyio.move_on_after(5.0):
                 while True:
@@ -266,7 +266,7 @@
         async def scenario(scene):
             hosts = await start_hosts(scene)
             for engine in scene.engines:
-                engine.always = platform_target.Serve(0.05)
+                engine.default_behaviour = platform_target.Serve(0.05)
             others = [b"harmless %d" % number for number in range(6)]
             async with anyio.create_task_group() as tasks:
                 for body in others:
@@ -301,7 +301,7 @@
     def test_planned_departure_is_no_crash(self):
         async def scenario(scene):
             (engine,) = scene.engines
-            engine.always = platform_target.Serve(0.3)
+            engine.default_behaviour = platform_target.Serve(0.3)
             request = scene.prompt("/resume/one", body=b"harmless")
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(call, scene, scene.program, request)
@@ -310,7 +310,7 @@
                 await scene.until(
                     lambda: engine.name in scene.site.targets.leaving
                 )
-                engine.end()
+                engine.crash()
             self.assertEqual(
                 read_quarantine_status(scene.program, b"harmless").ends, 0
             )
@@ -322,7 +322,7 @@
             hosts = await start_hosts(scene, 2)
             await call_many(scene, hosts, 12, DEADLY_BODY)
             for engine in scene.engines:
-                engine.deadly = frozenset()
+                engine.crash_bodies = frozenset()
             request = scene.prompt(
                 "/resume/one", body=DEADLY_BODY, authorization="Bearer key-two"
             )
--- a/tests/coordination/gateway/serving/test_dispatcher.py
+++ b/tests/coordination/gateway/serving/test_dispatcher.py
@@ -110,7 +110,7 @@
 
                 async def story(scene, behaviour=behaviour):
                     bad, good = scene.plain
-                    bad.always = behaviour
+                    bad.default_behaviour = behaviour
                     statuses = set()
                     for _ in range(4):
                         answer = await scene.call(scene.request("/again/x"))
@@ -124,7 +124,7 @@
     def test_failure_of_all_targets_is_relayed_with_its_receipt(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.Fail(500)
+                target.default_behaviour = standin.Fail(500)
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 500)
             self.assertTrue(answer.head.get(b"x-response-stamp"))
@@ -148,7 +148,7 @@
 
                 async def story(scene, delay_s=delay_s):
                     for target in scene.plain:
-                        target.always = standin.ExtraAnswer(delay_s)
+                        target.default_behaviour = standin.ExtraAnswer(delay_s)
                     for _ in range(6):
                         answer = await scene.call(scene.request("/once/x"))
                         self.assertEqual(answer.head.status, 200)
@@ -160,7 +160,7 @@
     def test_deadline_gives_a_final_answer_with_the_run_state(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.NeverAnswer()
+                target.default_behaviour = standin.NeverAnswer()
             request = scene.request("/once/x", x_deadline_ms="200")
             started = anyio.current_time()
             answer = await scene.call(request)
@@ -168,7 +168,9 @@
             self.assertIn(b'"run":"unknown"', answer.body)
             self.assertLess(anyio.current_time() - started, 1.0)
             self.assertEqual(len(scene.runs()), 1)
-            await scene.until(lambda: any(t.left for t in scene.plain))
+            await scene.until(
+                lambda: any(t.disconnected_requests for t in scene.plain)
+            )
 
         scene_lib.run_scenario(story)
 
@@ -201,7 +203,7 @@
 
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.Serve(0.34)
+                target.default_behaviour = standin.Serve(0.34)
             answer = await scene.call(
                 scene.request("/once/x", x_deadline_ms="300")
             )
@@ -232,7 +234,7 @@
     def test_failure_is_relayed_when_keys_can_no_longer_be_checked(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.Fail(500)
+                target.default_behaviour = standin.Fail(500)
                 run_target = target._run
 
                 async def lose_store_and_run(*arguments, run_target=run_target):
@@ -251,7 +253,7 @@
 
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.ResetConnection()
+                target.default_behaviour = standin.ResetConnection()
                 run = target._run
 
                 async def lose_store_and_run(*arguments, run=run):
@@ -330,8 +332,8 @@
 
     def test_refusal_with_a_cut_off_body_is_still_a_refusal(self):
         async def story(scene):
-            scene.plain[0].always = standin.Refuse(cut=True)
-            scene.plain[1].always = standin.Refuse(cut=True)
+            scene.plain[0].default_behaviour = standin.Refuse(cut=True)
+            scene.plain[1].default_behaviour = standin.Refuse(cut=True)
             answer = await scene.call(scene.request("/once/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertIn(b'"run":"not_run"', answer.body)
@@ -369,19 +371,21 @@
     def test_connection_to_the_target_is_closed_when_the_caller_leaves(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.NeverAnswer()
+                target.default_behaviour = standin.NeverAnswer()
             connection = await scene.pool.acquire(scene.program.server.address)
             await connection.send_request(scene.request("/once/x"))
             await scene.until(scene.runs)
             await connection.close()
-            await scene.until(lambda: any(t.left for t in scene.plain))
+            await scene.until(
+                lambda: any(t.disconnected_requests for t in scene.plain)
+            )
 
         scene_lib.run_scenario(story)
 
     def test_retries_stop_when_the_budget_is_exhausted(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.Fail()
+                target.default_behaviour = standin.Fail()
             scene.site.cluster_size = 8
             for _ in range(40):
                 await scene.call(scene.request("/again/x"))
@@ -425,7 +429,7 @@
     def test_stream_that_cannot_be_resumed_is_never_ended_cleanly(self):
         async def story(scene):
             for engine in scene.engines:
-                engine.always = standin.TruncateStream(2)
+                engine.default_behaviour = standin.TruncateStream(2)
             with self.assertRaises(http1_client.CallError):
                 await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(len(scene.runs()), 1)
--- a/tests/coordination/gateway/serving/test_explaining.py
+++ b/tests/coordination/gateway/serving/test_explaining.py
@@ -43,7 +43,7 @@
     def test_refused_under_overload(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.Refuse()
+                target.default_behaviour = standin.Refuse()
             request = scene.request("/once/x")
             answer = await scene.call(request)
             self.assertEqual(answer.head.status, 503)
@@ -120,7 +120,7 @@
     def test_stream_cut_off_by_a_crash(self):
         async def story(scene):
             for engine in scene.engines:
-                engine.always = standin.TruncateStream(2)
+                engine.default_behaviour = standin.TruncateStream(2)
             request = scene.prompt("/stream/x")
             with self.assertRaises(http1_client.CallError):
                 await scene.call(request)
@@ -183,7 +183,7 @@
     def test_failure_of_the_targets_themselves(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = standin.Fail()
+                target.default_behaviour = standin.Fail()
             request = scene.request("/again/x")
             answer = await scene.call(request)
             self.assertEqual(answer.head.status, 500)
@@ -253,7 +253,7 @@
                 await scene.call(request)
             for target in scene.plain:
                 target.behaviours.clear()
-                target.always = standin.ResetConnection()
+                target.default_behaviour = standin.ResetConnection()
             await scene.call(requests[3])
             for request in requests:
                 self.assertIn("refused with", self.explain(request))
@@ -283,7 +283,7 @@
         async def story(scene):
             scene.tasks.start_soon(handler.run)
             for target in scene.plain:
-                target.always = standin.Fail()
+                target.default_behaviour = standin.Fail()
             for _ in range(300):
                 answer = await scene.call(scene.request("/again/x"))
                 self.assertEqual(answer.head.status, 500)
--- a/tests/coordination/gateway/serving/test_kept_connections.py
+++ b/tests/coordination/gateway/serving/test_kept_connections.py
@@ -42,7 +42,9 @@
                 await scene.until(lambda p=program: p.site.cluster_size == 3)
             target = scene.plain[0]
             released = anyio.Event()
-            target.always = scene_lib.platform_target.HoldAnswer(released)
+            target.default_behaviour = scene_lib.platform_target.HoldAnswer(
+                released
+            )
             async with anyio.create_task_group() as callers:
                 for program in programs:
                     for _ in range(REQUESTS_PER_HOST):
--- a/tests/coordination/gateway/serving/test_quota.py
+++ b/tests/coordination/gateway/serving/test_quota.py
@@ -188,7 +188,7 @@
             program = scene.program
             await scene.until(lambda: has_quota_remaining(program))
             for engine in scene.engines:
-                engine.always = platform_target.Refuse()
+                engine.default_behaviour = platform_target.Refuse()
             answer = await scene.call(scene.prompt("/stream/x"))
             self.assertEqual(answer.head.status, 503)
             self.assertEqual(program.quotas.statuses()[0].used, 0)
--- a/tests/coordination/gateway/serving/test_reach.py
+++ b/tests/coordination/gateway/serving/test_reach.py
@@ -99,7 +99,7 @@
     def test_isolated_host_gives_up_no_attempt(self):
         async def scenario(scene):
             for target in scene.plain:
-                target.always = standin.Serve(1.9)
+                target.default_behaviour = standin.Serve(1.9)
             scene.site.budget("plain").extra = 50.0
             request = scene.request("/again/x", x_deadline_ms="2900")
             with timed_out_probes():
@@ -169,7 +169,7 @@
         async def scenario(scene):
             released = anyio.Event()
             for engine in scene.engines:
-                engine.always = standin.HoldAnswer(released)
+                engine.default_behaviour = standin.HoldAnswer(released)
             answers = []
 
             async def call():
@@ -203,7 +203,7 @@
     def test_new_connection_is_not_probed(self):
         async def scenario(scene):
             for target in scene.plain:
-                target.always = standin.Serve(0.8)
+                target.default_behaviour = standin.Serve(0.8)
             pool = scene.program.pool
             answer = await scene.call(scene.request("/again/x"))
             self.assertEqual(answer.head.status, 200)
@@ -217,7 +217,7 @@
     def test_unrepeatable_request_is_not_given_up(self):
         async def scenario(scene):
             for target in scene.plain:
-                target.always = standin.Serve(1.2)
+                target.default_behaviour = standin.Serve(1.2)
             answers = []
 
             async def call():
--- a/tests/coordination/gateway/serving/test_silent_connections.py
+++ b/tests/coordination/gateway/serving/test_silent_connections.py
@@ -139,7 +139,7 @@
     def test_slow_target_that_acknowledged_is_not_given_up(self):
         async def story(scene):
             for target in scene.plain:
-                target.always = platform_target.Serve(0.9)
+                target.default_behaviour = platform_target.Serve(0.9)
             links = await link_targets(scene)
             await open_idle_connections(scene, links)
             runs = len(scene.runs())
--- a/tests/coordination/gateway/serving/test_target_announcements.py
+++ b/tests/coordination/gateway/serving/test_target_announcements.py
@@ -289,7 +289,9 @@
     def test_backoff_of_a_503_that_may_have_run(self):
         async def scenario(scene):
             target = scene.plain[0]
-            target.always = platform_target.Fail(503, retry_after_s=2.0)
+            target.default_behaviour = platform_target.Fail(
+                503, retry_after_s=2.0
+            )
             await send_for(scene, 0.3, make_plain_request)
             began_at = time.monotonic()
             await send_for(scene, 1.0, make_plain_request)
--- a/tests/coordination/gateway/test_lifecycle.py
+++ b/tests/coordination/gateway/test_lifecycle.py
@@ -259,7 +259,7 @@
             scene.configure(routes=routes)
             await scene.until(lambda: scene.site.table.position == 2)
             for target in scene.plain:
-                target.always = standin.Refuse()
+                target.default_behaviour = standin.Refuse()
             spans = []
             for n in range(3):
                 answers = [
@@ -413,7 +413,7 @@
     def test_planned_stop_finishes_requests_and_closes_idle_connections(self):
         async def scenario(scene):
             for target in scene.plain:
-                target.always = standin.Serve(0.6)
+                target.default_behaviour = standin.Serve(0.6)
             address = scene.program.server.address
             idle = await scene.pool.acquire(address)
             await idle.send_request(scene.request("/open/x"))
@@ -475,7 +475,7 @@
     def test_request_cancelled_at_the_end_of_a_stop_gets_an_answer(self):
         async def scenario(scene):
             for target in scene.plain:
-                target.always = standin.NeverAnswer()
+                target.default_behaviour = standin.NeverAnswer()
             connection = await scene.pool.acquire(scene.program.server.address)
             await connection.send_request(scene.request("/once/x"))
             await scene.until(scene.runs)
--- a/tests/standin/test_platform_target.py
+++ b/tests/standin/test_platform_target.py
@@ -59,7 +59,7 @@
 class OrderTest(unittest.TestCase):
     def test_late_order_is_unanswered_and_carried_out_later(self):
         async def story(engine):
-            engine.target.orders_late_s = _LATE_S
+            engine.target.order_delay_s = _LATE_S
             self.assertIsNone(await engine.order(2, 0))
             self.assertEqual(engine.target.weights, 1)
             await anyio.sleep(_LATE_S + _SOON_S)
@@ -69,9 +69,9 @@
 
     def test_late_order_that_does_not_fit_any_more_is_dropped(self):
         async def story(engine):
-            engine.target.orders_late_s = _LATE_S
+            engine.target.order_delay_s = _LATE_S
             self.assertIsNone(await engine.order(2, 0))
-            engine.target.orders_late_s = 0.0
+            engine.target.order_delay_s = 0.0
             self.assertEqual(await engine.order(3, 0), 202)
             await anyio.sleep(_LATE_S + _SOON_S)
             self.assertEqual(engine.target.weights, 3)
