--- a/hillthread/bench/gateway_soak/stage.py
+++ b/hillthread/bench/gateway_soak/stage.py
@@ -277,7 +277,7 @@
 
     def name_weights(self) -> None:
         """Names newer weights."""
-        self.operator.name_weights(_MODEL)
+        self.operator.announce_weights(_MODEL)
         self.evidence.weights_named.append(
             evidence_lib.NamedVersion(self.operator.weights, time.monotonic())
         )
@@ -338,7 +338,7 @@
         """Has targets that have loaded tell so, as the store allows."""
         while True:
             await anyio.sleep(_HEARTBEAT_S)
-            if not self.store.faults.answers:
+            if not self.store.faults.is_answering:
                 continue
             for target in list(self.targets.values()):
                 if target.listed_weights != target.weights:
--- a/hillthread/bench/gateway_soak/store_faults.py
+++ b/hillthread/bench/gateway_soak/store_faults.py
@@ -70,14 +70,14 @@
     async def store_loses_answers(self) -> None:
         """Writes are done, some of them late, and not answered."""
         with self.injector.noted("store_loses_answers", "store"):
-            self.stage.store.faults.lost_answers = self.injector.random.randint(
-                1, 3
+            self.stage.store.faults.unanswered_appends = (
+                self.injector.random.randint(1, 3)
             )
-            self.stage.store.faults.late_s = self.injector.random.choice(
-                (0.0, 0.5)
+            self.stage.store.faults.append_delay_s = (
+                self.injector.random.choice((0.0, 0.5))
             )
             await anyio.sleep(self.injector.between(injector_lib.FAULT_S))
-            self.stage.store.faults.lost_answers = 0
+            self.stage.store.faults.unanswered_appends = 0
 
     async def store_forgets(self) -> None:
         """All but the newest record of each key, and young ones, go."""
--- a/hillthread/standin/platform_operator.py
+++ b/hillthread/standin/platform_operator.py
@@ -108,7 +108,7 @@
             "plainTokens": _PLAIN_TOKENS,
         }
 
-    def name_weights(self, model: str) -> None:
+    def announce_weights(self, model: str) -> None:
         """Names newer weights of a model."""
         self.weights += 1
         self.store.put(
--- a/hillthread/standin/platform_store.py
+++ b/hillthread/standin/platform_store.py
@@ -47,14 +47,14 @@
     silent: bool = False
     reset: bool = False
     slow_s: float = 0.0
-    lost_answers: int = 0
-    late_s: float = 0.0
-    page_records: int = 0
+    unanswered_appends: int = 0
+    append_delay_s: float = 0.0
+    max_page_records: int = 0
     busy_topic: str = ""
-    deaf: bool = False
+    ignores_new_records: bool = False
 
     @property
-    def answers(self) -> bool:
+    def is_answering(self) -> bool:
         """Whether calls are answered as they should, if slowly."""
         return not (self.status or self.silent or self.reset)
 
@@ -75,7 +75,7 @@
         self.written_at: list[float] = []
         self.newest: dict[str, tuple[int, bytes]] = {}
 
-    def copied(self) -> _Topic:
+    def snapshot(self) -> _Topic:
         """Returns a copy that later records do not change."""
         copy = _Topic()
         copy.first = self.first
@@ -160,11 +160,11 @@
 
     def backup(self) -> Backup:
         """Returns a copy of all topics, to be restored later."""
-        return {name: topic.copied() for name, topic in self.topics.items()}
+        return {name: topic.snapshot() for name, topic in self.topics.items()}
 
     def restore(self, backup: Backup) -> None:
         """Goes back to a backup; what was written since is lost."""
-        self.topics = {name: topic.copied() for name, topic in backup.items()}
+        self.topics = {name: topic.snapshot() for name, topic in backup.items()}
         if self.era is not None:
             self.era += 1
         self._wake()
@@ -268,14 +268,14 @@
             await answer.send_whole(410, self._json_headers(), gone)
             return
         with anyio.move_on_after(int(query.get("waitMs", "0")) / 1000.0):
-            while topic.end <= start or self.faults.deaf:
+            while topic.end <= start or self.faults.ignores_new_records:
                 await self.changed.wait()
                 topic = self._topic(query["topic"])  # it may be restored
         if self.faults.silent:
             await anyio.sleep_forever()
         parts = [struct.pack(">QQ", topic.end, topic.first)]
         records = topic.records[max(0, start - topic.first) :]
-        for payload in records[: self.faults.page_records or None]:
+        for payload in records[: self.faults.max_page_records or None]:
             parts.append(struct.pack(">I", len(payload)) + payload)
         await answer.send_whole(200, self._era_header(), b"".join(parts))
 
@@ -285,10 +285,10 @@
         body: bytes,
         answer: http1_server.CallerAnswer,
     ) -> None:
-        lost = self.faults.lost_answers > 0
+        lost = self.faults.unanswered_appends > 0
         if lost:
-            self.faults.lost_answers -= 1
-            await anyio.sleep(self.faults.late_s)
+            self.faults.unanswered_appends -= 1
+            await anyio.sleep(self.faults.append_delay_s)
         topic = self._topic(query["topic"])
         expected = query.get("storeRevision")
         if expected is not None and int(expected) != topic.end:
--- a/tests/coordination/gateway/peers/test_feed.py
+++ b/tests/coordination/gateway/peers/test_feed.py
@@ -93,7 +93,7 @@
                 lambda: scene.program.follower_context.watch.lost_at
             )
             proven_at = scene.site.freshness.known_until
-            scene.store.faults.page_records = 1
+            scene.store.faults.max_page_records = 1
             scene.store.put("keyed.op", "other", {})
             scene.configure(routes=[])
             scene.store.faults.status = 0
--- a/tests/coordination/gateway/test_bounds.py
+++ b/tests/coordination/gateway/test_bounds.py
@@ -34,7 +34,7 @@
         async def scenario(scene):
             calls = scene.store.topic_calls
             before = calls["keyed.op"]
-            scene.store.faults.deaf = deaf
+            scene.store.faults.ignores_new_records = deaf
             await scene.until(lambda: calls["keyed.op"] > before)
             await anyio.sleep(0.02)
             if silent:
