--- a/hillthread/bench/gateway_soak/stage.py
+++ b/hillthread/bench/gateway_soak/stage.py
@@ -213,7 +213,7 @@
         for host in self.hosts:
             for link in host.links:
                 self.tasks.start_soon(link.serve)
-            self.tasks.start_soon(host.feed_link.serve_packets)
+            self.tasks.start_soon(host.feed_link.serve_datagrams)
             self.start_process(host)
         for host in self.hosts:
             await self.wait_started(host)
--- a/hillthread/standin/engine.py
+++ b/hillthread/standin/engine.py
@@ -169,8 +169,8 @@
                 self.answers[job.job_id].add_word()
                 if job.finished:
                     self.journal.end(job, "finished")
-            self.telemetry.note_load()
-            self.telemetry.note_events()
+            self.telemetry.record_load()
+            self.telemetry.record_events()
 
     async def _complete(
         self, request: http_server.Request, send: http_server.Send
@@ -236,7 +236,7 @@
         self.journal.begin(job, self.incarnation)
         self.model.submit(job)
         self.work.set()
-        self.telemetry.note_load()
+        self.telemetry.record_load()
         return answer
 
     async def _send_stream(
@@ -269,7 +269,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(_cancel_at_leaving, request, group)
                 while not answer.done and not answer.cancelled:
-                    await answer.wait_change()
+                    await answer.wait_for_change()
                 group.cancel_scope.cancel()
         finally:
             if not answer.done:
@@ -308,7 +308,7 @@
         answer.cancel()
         self.model.cancel(answer.job.job_id)
         self.journal.end(answer.job, "cancelled")
-        self.telemetry.note_load()
+        self.telemetry.record_load()
 
     async def _order(
         self, request: http_server.Request, send: http_server.Send
--- a/hillthread/standin/engine_answer.py
+++ b/hillthread/standin/engine_answer.py
@@ -72,7 +72,7 @@
         self.cancelled = True
         self._wake_readers()
 
-    async def wait_change(self) -> None:
+    async def wait_for_change(self) -> None:
         """Returns after the next event, or once it is cancelled."""
         await self._changed.wait()
 
@@ -133,7 +133,7 @@
         if position >= len(answer.events):
             if answer.cancelled:
                 return
-            await answer.wait_change()
+            await answer.wait_for_change()
             continue
         if not started:
             started = True
--- a/hillthread/standin/engine_telemetry.py
+++ b/hillthread/standin/engine_telemetry.py
@@ -66,7 +66,7 @@
         )
         self.sequence = 0
 
-    def note_load(self) -> None:
+    def record_load(self) -> None:
         """Notes the load as it is now."""
         model = self.model
         self.loads.append(
@@ -80,7 +80,7 @@
             )
         )
 
-    def note_events(self) -> None:
+    def record_events(self) -> None:
         """Notes the cache events since the last call, but for lost ones."""
         now = time.monotonic()
         for event in self.model.drain_events():
--- a/hillthread/standin/services.py
+++ b/hillthread/standin/services.py
@@ -49,7 +49,7 @@
         body = await request.body(_MAX_BODY)
         if request.path == "/control":
             self.faults.update(msgspec.json.decode(body))
-            self.control()
+            self.apply_control()
             await http_server.send_json(send, 200, {})
             return
         if self.faults.get("down"):
@@ -57,7 +57,7 @@
             return
         await self.answer(request, body, send)
 
-    def control(self) -> None:
+    def apply_control(self) -> None:
         """Acts on faults that are done at once."""
 
     async def answer(
@@ -78,19 +78,19 @@
     def __init__(self, settings: StandinSettings):
         super().__init__(settings)
         self.streams: dict[str, list[str]] = {}
-        self.first: dict[str, int] = {}
+        self.first_offsets: dict[str, int] = {}
         self.changed = anyio.Event()
         self.appends = 0
         self.random = random.Random(1)
 
-    def control(self) -> None:
+    def apply_control(self) -> None:
         """`truncate`, `rollback`: {stream: offset}; others are states."""
         for stream, offset in self.faults.pop("truncate", {}).items():
-            first = self.first.get(stream, 0)
+            first = self.first_offsets.get(stream, 0)
             self.streams[stream] = self.streams[stream][offset - first :]
-            self.first[stream] = offset
+            self.first_offsets[stream] = offset
         for stream, offset in self.faults.pop("rollback", {}).items():
-            first = self.first.get(stream, 0)
+            first = self.first_offsets.get(stream, 0)
             self.streams[stream] = self.streams[stream][: offset - first]
 
     async def answer(
@@ -110,7 +110,7 @@
     async def _append(self, stream: str, body: bytes, send) -> None:
         wanted = msgspec.json.decode(body)["records"]
         records = self.streams.setdefault(stream, [])
-        offset = self.first.get(stream, 0) + len(records)
+        offset = self.first_offsets.get(stream, 0) + len(records)
         records.extend(wanted)
         self.appends += 1
         self.changed.set()
@@ -131,7 +131,7 @@
         with anyio.move_on_after(float(request.parameter("wait_s", "0"))):
             while start >= self._next(stream):
                 await self.changed.wait()
-        first = self.first.get(stream, 0)
+        first = self.first_offsets.get(stream, 0)
         if start < first:
             await http_server.send_json(send, 410, {"first_offset": first})
             return
@@ -150,7 +150,9 @@
         )
 
     def _next(self, stream: str) -> int:
-        return self.first.get(stream, 0) + len(self.streams.get(stream, []))
+        return self.first_offsets.get(stream, 0) + len(
+            self.streams.get(stream, [])
+        )
 
 
 class HostListStandin(_Standin):
@@ -164,7 +166,7 @@
         super().__init__(settings)
         self.versions: list[tuple[float, list[Any]]] = [(0.0, [])]
 
-    def control(self) -> None:
+    def apply_control(self) -> None:
         """`targets`: the new list."""
         if "targets" in self.faults:
             listed = self.faults.pop("targets")
--- a/hillthread/standin/wire_proxy.py
+++ b/hillthread/standin/wire_proxy.py
@@ -33,8 +33,8 @@
 class Direction(enum.StrEnum):
     """Which way bytes go."""
 
-    THERE = "there"
-    BACK = "back"
+    TO_SERVER = "there"
+    TO_CLIENT = "back"
 
 
 class WireProxy:
@@ -94,7 +94,7 @@
         async with listener:
             await listener.serve(self._pass_on)
 
-    async def serve_packets(self) -> None:
+    async def serve_datagrams(self) -> None:
         """Passes datagrams on, too, while nothing is cut; until cancelled."""
         ip, port = settings_lib.split_address(self.address)
         opened = await anyio.create_udp_socket(
@@ -139,8 +139,12 @@
     ) -> None:
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._pump, client, server, Direction.THERE)
-                tasks.start_soon(self._pump, server, client, Direction.BACK)
+                tasks.start_soon(
+                    self._pump, client, server, Direction.TO_SERVER
+                )
+                tasks.start_soon(
+                    self._pump, server, client, Direction.TO_CLIENT
+                )
         except* _LOST:
             # A reset on one side is one on the other, not an orderly end.
             _reset_at_close(client)
--- a/tests/standin/test_wire_proxy.py
+++ b/tests/standin/test_wire_proxy.py
@@ -154,7 +154,7 @@
             ):
                 ip, port = server.extra(anyio.abc.SocketAttribute.local_address)
                 link = wire_proxy.WireProxy(f"{ip}:{port}")
-                tasks.start_soon(link.serve_packets)
+                tasks.start_soon(link.serve_datagrams)
                 await anyio.sleep(_SOON_S)
                 there, number = link.address.split(":")
                 await client.sendto(b"before", there, int(number))
