--- a/hillthread/standin/__init__.py
+++ b/hillthread/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for engines, services and the platform, for tests."""
+"""Stand-ins for engines, services and the platform, for tests."""
--- a/hillthread/standin/engine.py
+++ b/hillthread/standin/engine.py
@@ -1,6 +1,6 @@
-"""The engine stand-in: an HTTP face for the engine model.
+"""The engine stand-in: an HTTP server for the engine model.
 
-docs/PROTOCOLS.md is the specification of what it speaks.
+Its protocol is specified in docs/PROTOCOLS.md.
 """
 
 from __future__ import annotations
@@ -26,28 +26,30 @@
 
 __all__ = ["EngineSettings", "EngineStandin"]
 
-_KEPT_ANSWERS = 4096
+_MAX_KEPT_ANSWERS = 4096
 _DEFAULT_MAX_TOKENS = 64
-_MAX_BODY = 16_777_216
+_MAX_BODY_BYTES = 16_777_216
 
 
 class EngineSettings(settings_lib.SettingsStruct, frozen=True, kw_only=True):
     """Settings of the engine stand-in.
 
     Attributes:
-        listen: Where it serves.
-        models: Models it serves.
-        weights_version: Of the weights loaded at the start.
+        listen: Address that it listens on.
+        models: Names of the served models.
+        weights_version: Version of the weights loaded at the start.
         cache_blocks: Blocks of 16 tokens in its memory.
-        batch_tokens: Tokens computed in one step at most.
-        max_running: Requests computed at once.
-        load_lag_s: Age of the load it reports.
-        event_lag_s: Age of the cache events it publishes.
-        event_loss_every: Every so many cache events one is lost; 0 for none.
-        load_s: How long loading weights takes; it serves no new request then.
-        resume_s: How long an answer nobody reads goes on.
-        honours_weights: Whether it refuses a request that expects others.
-        honours_fencing: Whether it refuses an old fencing number.
+        batch_tokens: Maximum number of tokens computed in a step.
+        max_running: Maximum number of requests computed concurrently.
+        load_lag_s: Age of the load that it reports.
+        event_lag_s: Age of the cache events that it publishes.
+        event_loss_every: Drops every n-th cache event; 0 drops none.
+        load_s: Duration of loading weights; new requests are refused then.
+        resume_s: How long an answer without readers is still generated.
+        honours_weights: Whether it refuses a request that expects another
+            weights version.
+        honours_fencing: Whether it refuses an order with an old fencing
+            number.
     """
 
     listen: settings_lib.Address = "127.0.0.1:0"
@@ -66,13 +68,13 @@
 
 
 class EngineStandin:
-    """One engine process.
+    """An engine process.
 
     Attributes:
-        incarnation: New with each start and each crash.
-        journal: Every run, for checkers: what callers cannot see.
-        answers: Those that callers may still read or resume, by attempt.
-        orders: Every order that was carried out, with when.
+        incarnation: Random identifier, replaced at each start and crash.
+        journal: Every run, which tests check against the answers.
+        answers: Answers that callers may read or resume, by attempt ID.
+        orders: Executed orders with their start and end times.
     """
 
     def __init__(self, settings: EngineSettings):
@@ -93,9 +95,9 @@
         self._restart()
 
     async def run(self, stop: anyio.Event) -> None:
-        """Serves and computes until `stop`."""
+        """Serves requests and runs engine steps until `stop` is set."""
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._compute)
+            tasks.start_soon(self._run_steps)
             self.tasks = tasks
             await self.server.serve(stop)
             tasks.cancel_scope.cancel()
@@ -106,11 +108,11 @@
         """Serves one request."""
         match request.method, request.path:
             case "POST", openai.CHAT_PATH | openai.COMPLETIONS_PATH:
-                await self._complete(request, send)
+                await self._handle_completion(request, send)
             case (("GET" | "DELETE"), path) if path.startswith(
                 engine_protocol.STREAMS_PATH
             ):
-                await self._stream_request(request, send)
+                await self._handle_stream(request, send)
             case "GET", "/metrics":
                 page = self.telemetry.metrics_page()
                 headers = tuple(self._headers(""))
@@ -120,8 +122,8 @@
             case "GET", engine_protocol.EVENTS_PATH:
                 start = int(request.parameter("from", "0"))
                 found = self.telemetry.events_since(start)
-                told = {"incarnation": self.incarnation, "events": found}
-                await self._send(send, 200, told)
+                event_page = {"incarnation": self.incarnation, "events": found}
+                await self._send(send, 200, event_page)
             case "GET", "/health":
                 await self._send(send, 200, {"incarnation": self.incarnation})
             case "GET", "/journal":
@@ -129,14 +131,14 @@
             case "GET", "/orders":
                 await self._send(send, 200, self.orders)
             case "POST", engine_protocol.ORDERS_PATH:
-                await self._order(request, send)
+                await self._handle_order(request, send)
             case "POST", "/control":
-                await self._control(request, send)
+                await self._handle_control(request, send)
             case _:
                 await self._send(send, 404, {"error": "not found"})
 
     def _restart(self) -> None:
-        """Starts anew and empty, as after a crash."""
+        """Starts a new incarnation with an empty cache, as after a crash."""
         self.incarnation = secrets.token_hex(4)
         self.model = engine_model.EngineModel(
             engine_model.EngineShape(
@@ -155,7 +157,7 @@
             self.settings.event_loss_every,
         )
 
-    async def _compute(self) -> None:
+    async def _run_steps(self) -> None:
         while True:
             if not self.model.busy():
                 self.work = anyio.Event()
@@ -172,24 +174,24 @@
             self.telemetry.record_load()
             self.telemetry.record_events()
 
-    async def _complete(
+    async def _handle_completion(
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
-        body = msgspec.json.decode(await request.body(_MAX_BODY))
+        body = msgspec.json.decode(await request.body(_MAX_BODY_BYTES))
         attempt_id = request.headers.get(
             engine_protocol.REQUEST_ID, secrets.token_hex(8)
         )
-        refusal = self._refusal(request, body)
+        refusal = self._refusal_reason(request, body)
         if refusal:
             await self._send(send, 409, {"error": refusal}, attempt_id)
             return
-        answer = self._start(request, body, attempt_id)
+        answer = self._start_answer(request, body, attempt_id)
         if body.get("stream"):
             await self._send_stream(answer, 0, request, send)
         else:
             await self._send_whole(answer, request, send)
 
-    def _refusal(
+    def _refusal_reason(
         self, request: http_server.Request, body: dict[str, Any]
     ) -> str:
         expected = request.headers.get(engine_protocol.EXPECT_WEIGHTS)
@@ -203,7 +205,7 @@
             return ""
         return "" if expected == self.weights_version else "weights_mismatch"
 
-    def _start(
+    def _start_answer(
         self,
         request: http_server.Request,
         body: dict[str, Any],
@@ -231,7 +233,7 @@
             first_index=int(last) + 1 if last else 0,
         )
         self.answers[attempt_id] = answer
-        if len(self.answers) > _KEPT_ANSWERS:
+        if len(self.answers) > _MAX_KEPT_ANSWERS:
             self.answers.popitem(last=False)
         self.journal.begin(job, self.incarnation)
         self.model.submit(job)
@@ -251,13 +253,13 @@
         answer.readers += 1
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(_cancel_at_leaving, request, group)
+                group.start_soon(_cancel_on_disconnect, request, group)
                 await engine_answer.send_events(answer, position, headers, send)
                 group.cancel_scope.cancel()
         finally:
             answer.readers -= 1
             if not answer.done:
-                self.tasks.start_soon(self._expire, answer)
+                self.tasks.start_soon(self._cancel_if_unread, answer)
 
     async def _send_whole(
         self,
@@ -267,7 +269,7 @@
     ) -> None:
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(_cancel_at_leaving, request, group)
+                group.start_soon(_cancel_on_disconnect, request, group)
                 while not answer.done and not answer.cancelled:
                     await answer.wait_for_change()
                 group.cancel_scope.cancel()
@@ -278,7 +280,7 @@
             document = answer.document()
             await self._send(send, 200, document, answer.job.job_id)
 
-    async def _stream_request(
+    async def _handle_stream(
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
         attempt_id = request.path.removeprefix(engine_protocol.STREAMS_PATH)
@@ -297,7 +299,7 @@
         position = int(last) + 1 - answer.first_index if last else 0
         await self._send_stream(answer, max(0, position), request, send)
 
-    async def _expire(self, answer: engine_answer.Answer) -> None:
+    async def _cancel_if_unread(self, answer: engine_answer.Answer) -> None:
         await anyio.sleep(self.settings.resume_s)
         if answer.readers == 0 and not answer.done:
             self._cancel(answer)
@@ -310,10 +312,10 @@
         self.journal.end(answer.job, "cancelled")
         self.telemetry.record_load()
 
-    async def _order(
+    async def _handle_order(
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
-        order = msgspec.json.decode(await request.body(_MAX_BODY))
+        order = msgspec.json.decode(await request.body(_MAX_BODY_BYTES))
         fencing = order.get("fencing", 0)
         if self.settings.honours_fencing and fencing < self.highest_fencing:
             await self._send(send, 409, {"error": "old fencing number"})
@@ -334,11 +336,11 @@
             return
         await self._send(send, 200, {"weights_version": self.weights_version})
 
-    async def _control(
+    async def _handle_control(
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
-        """Brings about failures, for tests."""
-        wanted = msgspec.json.decode(await request.body(_MAX_BODY))
+        """Injects faults for tests."""
+        wanted = msgspec.json.decode(await request.body(_MAX_BODY_BYTES))
         if wanted.get("crash"):
             self._restart()
         if "leaving" in wanted:
@@ -377,9 +379,9 @@
         )
 
 
-async def _cancel_at_leaving(
+async def _cancel_on_disconnect(
     request: http_server.Request, group: anyio.abc.TaskGroup
 ) -> None:
-    """Cancels the tasks that serve a caller once it has left."""
+    """Cancels the tasks of a request once its caller disconnects."""
     await request.wait_for_disconnect()
     group.cancel_scope.cancel()
--- a/hillthread/standin/engine_answer.py
+++ b/hillthread/standin/engine_answer.py
@@ -1,4 +1,4 @@
-"""One answer of an engine stand-in: its events, its usage, its document."""
+"""The answer of an engine stand-in, as events or as one document."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class Answer:
-    """An answer that grows word by word, kept while it may be resumed.
+    """An answer generated word by word, kept while it may be resumed.
 
     Attributes:
-        job: What the engine model computes for it.
-        model: The model that was asked for.
-        first_index: Number of its first event; above 0 where it goes on after
-            another engine's.
-        events: All events so far, encoded.
-        text: All words so far.
-        readers: Callers that read its events now.
+        job: The job of the engine model that generates it.
+        model: Name of the requested model.
+        first_index: Number of its first event; above 0 if it continues the
+            answer of another engine.
+        events: Encoded events so far.
+        text: Words so far.
+        readers: Number of callers that are reading its events.
         done: Whether its last event is among `events`.
-        cancelled: Whether it ended early; it gets no more events.
+        cancelled: Whether it was cancelled; no event is added then.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._changed = anyio.Event()
 
     def add_word(self) -> None:
-        """Adds the event of the next word, and the last ones behind it."""
+        """Adds the event of the next word; the last word adds the end, too."""
         word = next(self._words)
         self.text.append(word)
         finished = self.job.finished
@@ -68,16 +68,16 @@
         self._wake_readers()
 
     def cancel(self) -> None:
-        """Ends it early and wakes its readers."""
+        """Marks the answer as cancelled and wakes its readers."""
         self.cancelled = True
         self._wake_readers()
 
     async def wait_for_change(self) -> None:
-        """Returns after the next event, or once it is cancelled."""
+        """Waits for the next event or for cancellation."""
         await self._changed.wait()
 
     def document(self) -> dict[str, Any]:
-        """Returns the whole answer for callers that want no events."""
+        """Returns the complete answer for requests without streaming."""
         message = {"role": "assistant", "content": "".join(self.text)}
         return {
             "id": self._completion_id(),
@@ -123,10 +123,10 @@
     headers: list[tuple[bytes, bytes]],
     send: http_server.Send,
 ) -> None:
-    """Sends an answer's events from a position on, until its end.
+    """Sends the events of an answer, starting at a position.
 
-    The head is sent with the first event. A cancelled answer is left without
-    its end.
+    Response headers are sent with the first event. If the answer is cancelled,
+    the response is left incomplete.
     """
     started = False
     while not (answer.done and position >= len(answer.events)):
--- a/hillthread/standin/engine_telemetry.py
+++ b/hillthread/standin/engine_telemetry.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in tells of itself: late, and with gaps."""
+"""Load metrics and cache events of an engine stand-in, delayed and lossy."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _Load(NamedTuple):
-    """The load at one time."""
+    """A load sample."""
 
     at: float
     running: int
@@ -30,8 +30,8 @@
     generated_tokens: int
 
 
-class _Noted(NamedTuple):
-    """A cache event with when it happened and its number."""
+class _RecordedEvent(NamedTuple):
+    """A cache event with its time and sequence number."""
 
     at: float
     sequence: int
@@ -42,9 +42,9 @@
     """The history of one engine's load and cache events.
 
     Attributes:
-        load_lag_s: Age of the load told.
-        event_lag_s: Age of the cache events told.
-        loss_every: Every so many events one is lost; 0 for none.
+        load_lag_s: Age of the reported load.
+        event_lag_s: Age at which cache events are reported.
+        loss_every: Drops every n-th event; 0 drops none.
     """
 
     def __init__(
@@ -61,13 +61,13 @@
         self.loads: collections.deque[_Load] = collections.deque(
             maxlen=_MAX_LOADS
         )
-        self.events: collections.deque[_Noted] = collections.deque(
+        self.events: collections.deque[_RecordedEvent] = collections.deque(
             maxlen=_MAX_EVENTS
         )
         self.sequence = 0
 
     def record_load(self) -> None:
-        """Notes the load as it is now."""
+        """Records the current load."""
         model = self.model
         self.loads.append(
             _Load(
@@ -81,30 +81,30 @@
         )
 
     def record_events(self) -> None:
-        """Notes the cache events since the last call, but for lost ones."""
+        """Records the cache events since the last call, except dropped ones."""
         now = time.monotonic()
         for event in self.model.drain_events():
             self.sequence += 1
             if self.loss_every and self.sequence % self.loss_every == 0:
                 continue
-            self.events.append(_Noted(now, self.sequence, event))
+            self.events.append(_RecordedEvent(now, self.sequence, event))
 
     def events_since(self, start: int) -> list[dict[str, Any]]:
-        """Returns the events from number `start` on, as they are told."""
+        """Returns the reportable events from sequence number `start` on."""
         due = time.monotonic() - self.event_lag_s
         return [
             {
-                "seq": noted.sequence,
-                "type": noted.event.kind,
-                "block": noted.event.block,
+                "seq": recorded.sequence,
+                "type": recorded.event.kind,
+                "block": recorded.event.block,
             }
-            for noted in self.events
-            if noted.sequence >= start and noted.at <= due
+            for recorded in self.events
+            if recorded.sequence >= start and recorded.at <= due
         ]
 
     def metrics_page(self) -> bytes:
-        """Returns the page of metrics, of a while ago."""
-        load = self._told_load()
+        """Returns the metrics page with the load of `load_lag_s` ago."""
+        load = self._delayed_load()
         registry = prometheus_client.CollectorRegistry()
         for name, value in (
             (engine_protocol.METRIC_RUNNING, load.running),
@@ -131,11 +131,11 @@
         )
         return prometheus_client.generate_latest(registry)
 
-    def _told_load(self) -> _Load:
+    def _delayed_load(self) -> _Load:
         due = time.monotonic() - self.load_lag_s
-        told = _Load(0.0, 0, 0, 0, 0, 0)
+        reported = _Load(0.0, 0, 0, 0, 0, 0)
         for load in self.loads:
             if load.at > due:
                 break
-            told = load
-        return told
+            reported = load
+        return reported
--- a/hillthread/standin/language.py
+++ b/hillthread/standin/language.py
@@ -1,7 +1,7 @@
-"""The stand-in's language model: each word follows from all text before it.
+"""A deterministic language model: the preceding text determines each word.
 
-So an answer can be checked by anyone who knows the prompt, and an engine that
-continues another's answer gives the same words.
+A test that knows the prompt can check the answer, and an engine that continues
+the answer of another engine generates the same words.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 def chat_text(messages: list[dict[str, Any]], continued: bool) -> str:
-    """Returns the text of a chat, with the start of the answer's turn.
+    """Returns the prompt of a chat, ending where the answer begins.
 
     Args:
-        messages: With `role` and `content`.
+        messages: Messages with `role` and `content`.
         continued: Whether the last message is an unfinished answer.
     """
     parts = []
@@ -39,7 +39,7 @@
 
 
 def words(text: str, weights_version: str) -> Iterator[str]:
-    """Yields the words that follow `text`, without end."""
+    """Yields an infinite sequence of words that follow `text`."""
     state = zlib.crc32(text.encode(), zlib.crc32(weights_version.encode()))
     while True:
         word = f"{_WORDS[state % len(_WORDS)]}{state % 89} "
--- a/hillthread/standin/run_journal.py
+++ b/hillthread/standin/run_journal.py
@@ -1,4 +1,4 @@
-"""The runs of an engine stand-in, for checkers: what callers cannot see."""
+"""The runs of an engine stand-in, which tests check against the answers."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class RunJournal:
-    """Every run, those of former incarnations included.
+    """Records every run, including those of earlier incarnations.
 
     Attributes:
-        entries: One a run, oldest first, as told to checkers.
+        entries: One document for each run, oldest first.
     """
 
     def __init__(self):
         self.entries: list[dict[str, Any]] = []
 
     def begin(self, job: engine_model.Job, incarnation: str) -> None:
-        """Notes that a run has begun."""
+        """Records the start of a run."""
         self.entries.append(
             {
                 "attempt_id": job.job_id,
@@ -31,7 +31,7 @@
         )
 
     def end(self, job: engine_model.Job, how: str) -> None:
-        """Notes how the newest run of an attempt ended."""
+        """Records how the newest run of an attempt ended."""
         for entry in reversed(self.entries):
             if entry["attempt_id"] == job.job_id:
                 entry["end"] = how
--- a/tests/standin/__init__.py
+++ b/tests/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Tests that mirror the package."""
+"""Tests of the stand-ins."""
--- a/tests/standin/test_engine_model.py
+++ b/tests/standin/test_engine_model.py
@@ -13,7 +13,7 @@
     return engine_model.Job(name, blocks, len(text) // 4, tokens, priority)
 
 
-def finish(model):
+def run_to_completion(model):
     done = []
     while model.busy():
         model.begin_step()
@@ -25,31 +25,33 @@
     def setUp(self):
         self.model = engine_model.EngineModel(SHAPE)
 
-    def test_second_prompt_hits_what_the_first_computed(self):
+    def test_second_prompt_hits_blocks_of_the_first(self):
         first, second = job("a", "x" * 640), job("b", "x" * 640 + "y" * 64)
         for each in (first, second):
             self.model.submit(each)
-            finish(self.model)
+            run_to_completion(self.model)
         self.assertEqual(first.cached_tokens, 0)
         self.assertEqual(second.cached_tokens, 160)
 
-    def test_salts_never_share(self):
+    def test_prompts_with_different_salts_share_no_blocks(self):
         for name, salt in (("a", "o1"), ("b", "o2")):
             each = job(name, "x" * 640, salt)
             self.model.submit(each)
-            finish(self.model)
+            run_to_completion(self.model)
             self.assertEqual(each.cached_tokens, 0)
 
-    def test_priority_then_arrival(self):
+    def test_jobs_run_by_priority_then_arrival(self):
         for name, priority in (("a", 1), ("b", 0), ("c", 1)):
             self.model.submit(job(name, name * 400, priority=priority))
-        self.assertEqual(finish(self.model), ["b", "a", "c"])
+        self.assertEqual(run_to_completion(self.model), ["b", "a", "c"])
 
-    def test_memory_stays_bounded_and_all_jobs_end(self):
-        chooser = random.Random(3)
+    def test_memory_stays_bounded_and_all_jobs_finish(self):
+        random_source = random.Random(3)
         names = set()
         for number in range(60):
-            text = chooser.choice("abcdef") * chooser.randint(100, 2000)
+            text = random_source.choice("abcdef") * random_source.randint(
+                100, 2000
+            )
             self.model.submit(job(str(number), text))
             names.add(str(number))
             self.model.begin_step()
@@ -57,7 +59,7 @@
             self.assertLessEqual(
                 self.model.cached_block_count(), SHAPE.cache_blocks
             )
-        self.assertEqual(set(finish(self.model)), names)
+        self.assertEqual(set(run_to_completion(self.model)), names)
 
     def test_cancel_frees_memory(self):
         self.model.submit(job("a", "x" * 2000, tokens=500))
