--- a/hillthread/standin/platform_operator.py
+++ b/hillthread/standin/platform_operator.py
@@ -1,4 +1,4 @@
-"""A stand-in of those who write into the platform's store."""
+"""A stand-in of the operators who write into the platform's store."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 __all__ = ["OperatorRoute", "OperatorTenant", "PlatformOperatorStandin"]
 
 _MAX_ATTEMPTS = 2
-_AIM_MS = 500
+_TARGET_LATENCY_MS = 500
 _SLOTS = 8
-_PLAIN_TOKENS = 200
+_PLAIN_REQUEST_TOKENS = 200
 
 
 class OperatorRoute(NamedTuple):
-    """A route to all paths below its name.
+    """A route for all paths below `/NAME/`.
 
     Attributes:
-        name: Its name.
-        service: Where it leads.
-        streaming: Whether answers are streams of events.
-        repeatable: Whether requests may run again; of a stream, whether it
-            may be resumed.
+        name: Name of the route.
+        service: Service that requests are sent to.
+        streaming: Whether answers are event streams.
+        repeatable: Whether requests may be retried; for streaming routes,
+            whether streams may be resumed.
     """
 
     name: str
@@ -38,13 +38,13 @@
 
 @dataclasses.dataclass
 class OperatorTenant:
-    """A tenant.
+    """An organisation.
 
     Attributes:
-        name: Its name.
-        isolated: It shares no cached prefixes.
-        keys: Keys that hold, the oldest first.
-        tokens_per_s: Its quota, and as much at once; 0 for none.
+        name: Name of the organisation.
+        isolated: Whether it shares no cached prefixes with others.
+        keys: Valid API keys, oldest first.
+        tokens_per_s: Quota and size of a burst; 0 for no quota.
     """
 
     name: str
@@ -54,17 +54,17 @@
 
 
 class PlatformOperatorStandin:
-    """Writes configurations, weights and the list of targets.
+    """Writes configurations, weights versions and the target list.
 
     Attributes:
-        store: Where it writes.
-        host: The name that callers use for the gateways.
-        routes: Of the next configuration.
-        tenants: Of the next configuration.
-        models: Model of each service of engines.
-        timeout_ms: How long requests may take.
-        version: Of the configuration written last.
-        weights: The version named last.
+        store: The store that it writes to.
+        host: Host name that callers use for the gateways.
+        routes: Routes of the next configuration.
+        tenants: Organisations of the next configuration.
+        models: Model of each engine service.
+        timeout_ms: Timeout of requests.
+        version: Version of the last configuration.
+        weights: Last announced weights version.
     """
 
     def __init__(
@@ -89,15 +89,17 @@
         self.version += 1
         value = {
             "version": self.version,
-            "routes": [self._route(route) for route in self.routes],
-            "services": [self._service(name) for name in self._services()],
-            "tenants": [self._tenant(tenant) for tenant in self.tenants],
+            "routes": [self._build_route(route) for route in self.routes],
+            "services": [
+                self._build_service(name) for name in self._service_names()
+            ],
+            "tenants": [self._build_tenant(tenant) for tenant in self.tenants],
         }
         self.store.put(
             configuration.OPERATOR_TOPIC, configuration.CONFIGURATION_KEY, value
         )
 
-    def _tenant(self, tenant: OperatorTenant) -> dict[str, Any]:
+    def _build_tenant(self, tenant: OperatorTenant) -> dict[str, Any]:
         return {
             "name": tenant.name,
             "apiKeys": tenant.keys,
@@ -105,11 +107,11 @@
             "ratePerS": tenant.tokens_per_s,
             "burst": tenant.tokens_per_s,
             "unit": "token_stream",
-            "plainTokens": _PLAIN_TOKENS,
+            "plainTokens": _PLAIN_REQUEST_TOKENS,
         }
 
     def announce_weights(self, model: str) -> None:
-        """Names newer weights of a model."""
+        """Announces a newer weights version of a model."""
         self.weights += 1
         self.store.put(
             configuration.OPERATOR_TOPIC,
@@ -120,26 +122,26 @@
     def list_target(
         self, target: platform_target.PlatformTargetStandin, state: str
     ) -> None:
-        """Writes a target's entry."""
+        """Writes the entry of a target into the target list."""
         entry = target.entry(state)
         self.store.put(targets.TARGET_TOPIC, target.name, entry)
 
     def unlist_target(
         self, target: platform_target.PlatformTargetStandin
     ) -> None:
-        """Removes a target's entry."""
+        """Removes the entry of a target from the target list."""
         self.store.remove(targets.TARGET_TOPIC, target.name)
 
-    def _services(self) -> list[str]:
+    def _service_names(self) -> list[str]:
         return sorted({route.service for route in self.routes})
 
-    def _service(self, name: str) -> dict[str, Any]:
+    def _build_service(self, name: str) -> dict[str, Any]:
         if name not in self.models:
             return {"name": name}
         models = [{"name": self.models[name]}]
         return {"name": name, "engine": {"slots": _SLOTS, "models": models}}
 
-    def _route(self, route: OperatorRoute) -> dict[str, Any]:
+    def _build_route(self, route: OperatorRoute) -> dict[str, Any]:
         kind = "idempotent" if route.repeatable else "non_idempotent"
         return {
             "name": route.name,
@@ -148,7 +150,7 @@
             "type": "streaming" if route.streaming else kind,
             "service": route.service,
             "timeoutMs": self.timeout_ms,
-            "targetLatencyMs": _AIM_MS,
+            "targetLatencyMs": _TARGET_LATENCY_MS,
             "priority": 1,
             "maxAttempts": _MAX_ATTEMPTS,
             "resumable": route.streaming and route.repeatable,
--- a/hillthread/standin/platform_store.py
+++ b/hillthread/standin/platform_store.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform's store: a log of topics, in memory."""
+"""An in-memory stand-in of the platform's store: a log with topics."""
 
 from __future__ import annotations
 
@@ -21,26 +21,27 @@
 
 __all__ = ["Backup", "PlatformStoreStandin", "StoreFaults"]
 
-_PAGE_ITEMS = 500
+_MAX_PAGE_ITEMS = 500
 _KEYED_PREFIX = "keyed."
 _JSON = [(b"content-type", b"application/json")]
 
 
 @dataclasses.dataclass
 class StoreFaults:
-    """What the store does wrong.
+    """Faults that the store injects.
 
     Attributes:
-        status: Answers every call with this status; 0 for none.
-        silent: Takes calls and never answers.
-        reset: Resets every connection.
-        slow_s: Added to every answer.
-        lost_answers: So many writes are done and not answered.
-        late_s: Lost writes are done so much later.
-        busy_topic: Calls of this topic are refused with 429.
-        deaf: Reads that are held are answered only when their time is over,
-            though what they wait for has come.
-        page_records: Reads answer with so many records at most; 0 for all.
+        status: Status with which every call is answered; 0 for none.
+        silent: Accepts calls and never answers.
+        reset: Resets the connection of every call.
+        slow_s: Delay before every answer.
+        unanswered_appends: Number of next appends that are applied but not
+            answered.
+        append_delay_s: Delay before unanswered appends are applied.
+        busy_topic: Topic whose calls are refused with status 429.
+        ignores_new_records: Long-polling reads return only after their
+            timeout, even if records have arrived.
+        max_page_records: Maximum number of records in a page; 0 for all.
     """
 
     status: int = 0
@@ -55,7 +56,7 @@
 
     @property
     def is_answering(self) -> bool:
-        """Whether calls are answered as they should, if slowly."""
+        """Whether calls are answered correctly, possibly with a delay."""
         return not (self.status or self.silent or self.reset)
 
 
@@ -63,10 +64,10 @@
     """The records of one topic.
 
     Attributes:
-        first: Offset of the oldest record kept.
-        records: From there on.
-        written_at: When each of them came; seconds on the steady clock.
-        newest: Offset and value of each key, of keyed topics.
+        first: Offset of the oldest retained record.
+        records: Retained records, oldest first.
+        written_at: Monotonic time of each retained record, seconds.
+        newest: Newest offset and value of each key, for keyed topics.
     """
 
     def __init__(self):
@@ -76,7 +77,7 @@
         self.newest: dict[str, tuple[int, bytes]] = {}
 
     def snapshot(self) -> _Topic:
-        """Returns a copy that later records do not change."""
+        """Returns a copy that later changes do not affect."""
         copy = _Topic()
         copy.first = self.first
         copy.records = list(self.records)
@@ -86,7 +87,7 @@
 
     @property
     def end(self) -> int:
-        """One past the newest record."""
+        """Offset of the next record."""
         return self.first + len(self.records)
 
     def add(self, record: bytes) -> None:
@@ -95,7 +96,7 @@
         self.written_at.append(time.monotonic())
 
     def drop(self, before: float) -> None:
-        """Forgets the records that came before a time."""
+        """Drops the records written before a time."""
         count = bisect.bisect_left(self.written_at, before)
         self.first += count
         del self.records[:count]
@@ -107,14 +108,16 @@
 
 
 class PlatformStoreStandin:
-    """The store, for tests and demonstrations.
+    """A store for tests and demonstrations.
 
     Attributes:
-        faults: What it does wrong now.
-        era: Restorations so far, as all answers tell; None to tell nothing.
-        calls: Calls taken so far, by name.
-        topic_calls: The same by topic.
-        server: Where it listens.
+        faults: Faults that it injects now.
+        era: Number of restorations, sent with all answers; None sends none.
+        calls: Number of calls by name.
+        topic_calls: Number of calls by topic.
+        topics: Topics by name.
+        changed: Set and replaced when a record is written.
+        server: HTTP server of the store.
     """
 
     def __init__(self, listen: tuple[str, int] = ("127.0.0.1", 0)):
@@ -125,16 +128,19 @@
         self.topics: dict[str, _Topic] = {}
         self.changed = anyio.Event()
         self.server = http1_server.Server(
-            listen, self._handle, caller_bounds.CallerBounds, _ignore
+            listen,
+            self._handle,
+            caller_bounds.CallerBounds,
+            _ignore_unreadable_request,
         )
 
     @property
     def address(self) -> str:
-        """`IP:port`."""
+        """`IP:port` of the store."""
         return self.server.address
 
     def newest(self, topic: str) -> dict[str, bytes]:
-        """Returns the newest value of each key as bytes."""
+        """Returns the newest value of each key, undecoded."""
         return {
             key: value for key, (_, value) in self._topic(topic).newest.items()
         }
@@ -163,17 +169,17 @@
         return {name: topic.snapshot() for name, topic in self.topics.items()}
 
     def restore(self, backup: Backup) -> None:
-        """Goes back to a backup; what was written since is lost."""
+        """Restores a backup and loses all later records."""
         self.topics = {name: topic.snapshot() for name, topic in backup.items()}
         if self.era is not None:
             self.era += 1
-        self._wake()
+        self._wake_readers()
 
     def drop_history(self, kept_s: float = 0.0) -> None:
-        """Forgets old records; the newest of each key stay.
+        """Drops old records, but keeps the newest value of each key.
 
         Args:
-            kept_s: Records of topics without keys stay for so long.
+            kept_s: Age up to which records of topics without keys are kept.
         """
         now = time.monotonic()
         for name, topic in self.topics.items():
@@ -191,10 +197,10 @@
             found.newest[key] = (offset, value)
         else:
             found.newest.pop(key, None)
-        self._wake()
+        self._wake_readers()
         return offset
 
-    def _wake(self) -> None:
+    def _wake_readers(self) -> None:
         self.changed.set()
         self.changed = anyio.Event()
 
@@ -221,11 +227,11 @@
             return
         match name:
             case "log-newest":
-                await self._newest(query, answer)
+                await self._handle_newest(query, answer)
             case "log-read":
-                await self._read(query, answer)
+                await self._handle_read(query, answer)
             case "log-append":
-                await self._append(query, request.body, answer)
+                await self._handle_append(query, request.body, answer)
             case _:
                 await answer.send_whole(404, self._era_header(), b"")
 
@@ -237,7 +243,7 @@
     def _json_headers(self) -> http1.Headers:
         return [*_JSON, *self._era_header()]
 
-    async def _newest(
+    async def _handle_newest(
         self, query: dict[str, str], answer: http1_server.CallerAnswer
     ) -> None:
         topic = self._topic(query["topic"])
@@ -248,29 +254,29 @@
                 "value": base64.b64encode(topic.newest[key][1]).decode(),
                 "offset": topic.newest[key][0],
             }
-            for key in keys[:_PAGE_ITEMS]
+            for key in keys[:_MAX_PAGE_ITEMS]
         ]
         page = {
             "items": items,
-            "truncated": len(keys) > _PAGE_ITEMS,
+            "truncated": len(keys) > _MAX_PAGE_ITEMS,
             "end": topic.end,
         }
         body = msgspec.json.encode(page)
         await answer.send_whole(200, self._json_headers(), body)
 
-    async def _read(
+    async def _handle_read(
         self, query: dict[str, str], answer: http1_server.CallerAnswer
     ) -> None:
         topic = self._topic(query["topic"])
         start = int(query["from"])
         if not topic.first <= start <= topic.end:
-            gone = msgspec.json.encode({"first": topic.first})
-            await answer.send_whole(410, self._json_headers(), gone)
+            truncated = msgspec.json.encode({"first": topic.first})
+            await answer.send_whole(410, self._json_headers(), truncated)
             return
         with anyio.move_on_after(int(query.get("waitMs", "0")) / 1000.0):
             while topic.end <= start or self.faults.ignores_new_records:
                 await self.changed.wait()
-                topic = self._topic(query["topic"])  # it may be restored
+                topic = self._topic(query["topic"])  # restore() replaces it
         if self.faults.silent:
             await anyio.sleep_forever()
         parts = [struct.pack(">QQ", topic.end, topic.first)]
@@ -279,22 +285,22 @@
             parts.append(struct.pack(">I", len(payload)) + payload)
         await answer.send_whole(200, self._era_header(), b"".join(parts))
 
-    async def _append(
+    async def _handle_append(
         self,
         query: dict[str, str],
         body: bytes,
         answer: http1_server.CallerAnswer,
     ) -> None:
-        lost = self.faults.unanswered_appends > 0
-        if lost:
+        is_unanswered = self.faults.unanswered_appends > 0
+        if is_unanswered:
             self.faults.unanswered_appends -= 1
             await anyio.sleep(self.faults.append_delay_s)
         topic = self._topic(query["topic"])
         expected = query.get("storeRevision")
         if expected is not None and int(expected) != topic.end:
-            told = msgspec.json.encode({"end": topic.end})
-            if not lost:
-                await answer.send_whole(412, self._json_headers(), told)
+            conflict = msgspec.json.encode({"end": topic.end})
+            if not is_unanswered:
+                await answer.send_whole(412, self._json_headers(), conflict)
             return
         offset = topic.end
         position = 0
@@ -309,13 +315,13 @@
                 self._append_keyed(query["topic"], key, payload[key_end:])
             else:
                 topic.add(payload)
-        self._wake()
-        if lost:
+        self._wake_readers()
+        if is_unanswered:
             await anyio.sleep_forever()
         done = msgspec.json.encode({"offset": offset, "end": topic.end})
         await answer.send_whole(200, self._json_headers(), done)
 
 
-def _ignore(status: int, reason: str) -> None:
-    """Stands for nobody who counts unreadable requests."""
+def _ignore_unreadable_request(status: int, reason: str) -> None:
+    """Ignores requests that cannot be parsed."""
     del status, reason
--- a/hillthread/standin/platform_target.py
+++ b/hillthread/standin/platform_target.py
@@ -1,4 +1,4 @@
-"""A small stand-in of a platform's target: an engine or a plain service."""
+"""A stand-in of a target of the platform: an engine or a plain service."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     "ResetConnection",
 ]
 
-# How long a load takes unless a test says otherwise.
+# Default duration of loading weights.
 LOAD_S = 0.05
 _JSON = [(b"content-type", b"application/json")]
 _EVENTS = [(b"content-type", b"text/event-stream")]
@@ -46,10 +46,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Serve:
-    """Answers as it should.
+    """Answers correctly.
 
     Attributes:
-        delay_s: Before the answer, and between events.
+        delay_s: Delay before the answer or before each event.
     """
 
     delay_s: float = 0.0
@@ -57,10 +57,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Queue:
-    """Has the request wait, then runs it and answers as it should.
+    """Queues the request, then runs it and answers correctly.
 
     Attributes:
-        wait_s: Before it runs.
+        wait_s: Time in the queue.
     """
 
     wait_s: float
@@ -68,10 +68,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class HoldAnswer:
-    """Runs the request, and answers when told to.
+    """Runs the request and holds the answer back until released.
 
     Attributes:
-        released: Set when it may answer.
+        released: Event that releases the answer.
     """
 
     released: anyio.Event
@@ -79,11 +79,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refuse:
-    """Does not run the request and says so.
+    """Refuses the request and marks the answer as not run.
 
     Attributes:
-        status: Of its answer.
-        cut: The body of its answer is cut off.
+        status: Status of the answer.
+        cut: Whether the body of the answer is cut off.
     """
 
     status: int = 503
@@ -92,11 +92,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fail:
-    """Runs the request and answers with a failure.
+    """Runs the request and answers with an error status.
 
     Attributes:
-        status: Of its answer.
-        retry_after_s: Told with it; 0 for nothing.
+        status: Status of the answer.
+        retry_after_s: Value of its `retry-after` header; 0 sends none.
     """
 
     status: int = 500
@@ -115,10 +115,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class TruncateStream:
-    """Cuts the answer off.
+    """Cuts off an answer stream.
 
     Attributes:
-        events: Whole events before that; a part of one follows.
+        events: Complete events before an incomplete one.
     """
 
     events: int = 1
@@ -126,20 +126,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class MismatchedAnswer:
-    """Answers with what belongs to another request."""
+    """Answers with the request ID of another request."""
 
 
 @dataclasses.dataclass(frozen=True)
 class EncodedAnswer:
-    """Answers with an encoded body, which is not its own bytes."""
+    """Answers with a `content-encoding` that the body does not have."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ExtraAnswer:
-    """Answers, and sends a second answer behind the first.
+    """Answers correctly, then sends a second, unexpected answer.
 
     Attributes:
-        delay_s: Before the second one.
+        delay_s: Delay before the second answer.
     """
 
     delay_s: float = 0.0
@@ -147,10 +147,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class UnframedAnswer:
-    """Answers without a length; the answer ends with the connection.
+    """Answers without a length, so that closing the connection ends the body.
 
     Attributes:
-        reset: The connection is reset instead: the answer is not complete.
+        reset: Whether the connection is reset, which makes the answer
+            incomplete.
     """
 
     reset: bool = False
@@ -176,10 +177,10 @@
     """A request that the target ran.
 
     Attributes:
-        request_id: As it came.
-        request: All of it.
-        at: Seconds on the steady clock.
-        weights: Version of the target's weights.
+        request_id: Value of its `x-request-id` header.
+        request: The complete request.
+        at: Monotonic time of its start, seconds.
+        weights: Weights version of the target.
     """
 
     request_id: str
@@ -192,9 +193,9 @@
     """A request that reached the target.
 
     Attributes:
-        request_id: As it came.
-        at: Seconds on the steady clock.
-        start: Starts of the target before it.
+        request_id: Value of its `x-request-id` header.
+        at: Monotonic time of its arrival, seconds.
+        start: Number of restarts of the target before the request.
     """
 
     request_id: str
@@ -203,14 +204,14 @@
 
 
 class Announcement(NamedTuple):
-    """What an answer announced.
+    """An announcement that the target sent with an answer.
 
     Attributes:
-        request_id: Of the request that it answered.
-        at: Seconds on the steady clock.
-        start: Starts of the target before it.
-        is_leaving: The target leaves.
-        backoff_s: How long it wants no request from who sent this one.
+        request_id: ID of the answered request.
+        at: Monotonic time of the announcement, seconds.
+        start: Number of restarts of the target before it.
+        is_leaving: Whether the target is leaving.
+        backoff_s: How long the sender of the request should back off.
     """
 
     request_id: str
@@ -221,11 +222,11 @@
 
 
 class Order(NamedTuple):
-    """An order that the target took.
+    """An order that the target received.
 
     Attributes:
-        fields: Its body.
-        at: When it came; seconds on the steady clock.
+        fields: Decoded body of the order.
+        at: Monotonic time of its arrival, seconds.
     """
 
     fields: dict[str, Any]
@@ -233,43 +234,48 @@
 
 
 class PlatformTargetStandin:
-    """One target, for tests and demonstrations.
+    """A target for tests and demonstrations.
 
     Attributes:
-        name: Its incarnation.
-        service: The service it belongs to.
-        data_centre: Where it says it runs.
-        model: The model it serves; empty for a plain service.
-        weights: Version of its weights.
-        events: Events of each of its streams.
-        behaviours: What it does with the next requests; then it serves.
-        runs: What it ran.
-        left: Requests whose caller left while they ran.
-        orders: Orders taken, as they came.
-        order_log: The same with their times.
-        orders_seen: Orders that reached it, whatever became of them.
-        lost_orders: The next orders get no answer, and are carried out so
-            many seconds later if they then still fit; never if infinite.
-        silent: It takes requests of any kind and never answers.
-        names_requests: Answers hold the id of their request, so that no two
-            are alike.
-        load_s: How long it loads weights.
-        orders_late_s: Leaves orders unanswered, and carries them out so much
-            later if they still fit; 0 to answer at once.
-        cache_events: What its cache tells: number, sign, salt, digest,
+        name: Name of its incarnation.
+        service: Service that it belongs to.
+        data_centre: Data centre that it reports.
+        model: Served model; empty for a plain service.
+        weights: Version of the loaded weights.
+        events: Number of events of each stream.
+        behaviours: Behaviours for the next requests, in this order.
+        default_behaviour: Behaviour once `behaviours` is empty.
+        runs: Requests that it ran.
+        disconnected_requests: IDs of requests whose caller disconnected
+            while they ran.
+        orders: Accepted orders in order of acceptance.
+        timed_orders: Accepted orders with their times of arrival.
+        received_order_count: Number of received orders, accepted or not.
+        order_status: Status with which orders are refused; 0 for none.
+        unanswered_order_delays_s: For each of the next orders, the delay
+            after which it is executed if it is still valid. It is never
+            answered, and not executed if the delay is infinite.
+        silent: Whether it accepts requests of any kind and never answers.
+        includes_request_ids: Whether answers contain the ID of their
+            request, which makes each answer unique.
+        load_s: Duration of loading weights.
+        order_delay_s: Delay after which orders are executed if they are still
+            valid, without an answer; 0 to answer them at once.
+        busy: Whether it is loading weights; requests are refused then.
+        cache_events: Reported cache events: number, sign, salt, digest,
             tokens, model.
-        cache_epoch: Changes when its cache restarts.
-        born_ms: Unix milliseconds of its start.
-        limit_per_s: Requests a second that its answers say it takes from all
-            hosts together; None to name no limit.
-        extra_headers: Sent with every answer to a request.
-        announces_leaving: Its answers say that it leaves.
-        backoff_s: It refuses all requests and asks for a back-off of so many
-            seconds; 0 to take them.
-        arrivals: Requests that reached it, whatever became of them.
-        announcements: Answers that announced something.
-        deadly: Bodies that end it as soon as they have begun to run.
-        end: Ends it as a crash does: nobody hears more of it.
+        cache_epoch: Number that changes when its cache restarts.
+        born_ms: Unix time of its start, milliseconds.
+        limit_per_s: Announced limit of requests per second from all hosts
+            together; None announces no limit.
+        extra_headers: Headers sent with every answer to a request.
+        announces_leaving: Whether answers announce that it is leaving.
+        backoff_s: Back-off that it demands while it refuses all requests; 0
+            to accept requests.
+        arrivals: Requests that reached it, run or not.
+        announcements: Announcements sent with answers.
+        crash_bodies: Request bodies that crash it as soon as they run.
+        crash: Function that terminates it without any notice to others.
     """
 
     def __init__(
@@ -306,36 +312,36 @@
         self.backoff_s = 0.0
         self.arrivals: list[Arrival] = []
         self.announcements: list[Announcement] = []
-        self._starts = 0
+        self._start_count = 0
         self.crash_bodies: Container[bytes] = frozenset()
-        self.crash: Callable[[], None] = _nothing
-        self._orders_before = 0
+        self.crash: Callable[[], None] = _do_nothing
+        self._orders_before_start = 0
         self.server = self._new_server()
 
     @property
     def address(self) -> str:
-        """`IP:port`."""
+        """`IP:port` of the target."""
         return self.server.address
 
     @property
     def orders_taken(self) -> int:
-        """Orders taken since its last start."""
-        return len(self.orders) - self._orders_before
+        """Number of orders accepted since its last start."""
+        return len(self.orders) - self._orders_before_start
 
     def restart(self, port: int = 0) -> None:
-        """Starts again under its name: it knows nothing of before.
+        """Resets the target as a restart under the same name does.
 
-        Its server is a new one, to be served; the earlier one must have ended.
+        The caller must have stopped the old server and must serve the new one.
 
         Args:
-            port: Where it listens; any for 0.
+            port: Port to listen on; 0 for any.
         """
         self.born_ms = max(self.born_ms + 1, int(time.time() * 1000))
-        self._orders_before = len(self.orders)
+        self._orders_before_start = len(self.orders)
         self.busy = False
         self.announces_leaving = False
         self.backoff_s = 0.0
-        self._starts += 1
+        self._start_count += 1
         self.cache_epoch += 1
         self.cache_events.clear()
         self.server = self._new_server(port)
@@ -345,11 +351,11 @@
             ("127.0.0.1", port),
             self._handle,
             caller_bounds.CallerBounds,
-            _ignore,
+            _ignore_unreadable_request,
         )
 
     def entry(self, state: str = "ready") -> dict[str, Any]:
-        """Returns what the target writes into the list."""
+        """Returns the entry of the target for the target list."""
         models = [{"name": self.model, "version": self.weights}]
         return {
             "service": self.service,
@@ -364,7 +370,7 @@
         }
 
     def queue_behaviours(self, *behaviours: Behaviour) -> None:
-        """Sets what it does with the next requests."""
+        """Adds behaviours for the next requests."""
         self.behaviours.extend(behaviours)
 
     async def _handle(
@@ -376,25 +382,27 @@
             await anyio.sleep_forever()
         expected = request.get(b"x-expect-instance").decode()
         if expected and expected != self.name:
-            await self._misdirect(request, answer)
+            await self._refuse_wrong_instance(request, answer)
         elif request.path == "/api/report":
-            headers = [*_JSON, *self._announcements()]
-            await answer.send_whole(200, headers, self._report())
+            headers = [*_JSON, *self._announcement_headers()]
+            await answer.send_whole(200, headers, self._encode_report())
         elif request.path == "/api/kv-events":
-            await answer.send_whole(200, _JSON, self._cache_page(request))
+            await answer.send_whole(
+                200, _JSON, self._encode_cache_page(request)
+            )
         elif request.path == "/api/order":
-            await self._order(request, answer)
+            await self._handle_order(request, answer)
         else:
-            await self._take_request(request, answer)
+            await self._handle_request(request, answer)
 
-    async def _take_request(
+    async def _handle_request(
         self,
         request: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
     ) -> None:
         request_id = request.get(b"x-request-id").decode()
         self.arrivals.append(
-            Arrival(request_id, time.monotonic(), self._starts)
+            Arrival(request_id, time.monotonic(), self._start_count)
         )
         if self.backoff_s:
             await self._refuse(request, answer, 503)
@@ -404,7 +412,7 @@
         else:
             await self._serve(request, answer)
 
-    def _report(self) -> bytes:
+    def _encode_report(self) -> bytes:
         return msgspec.json.encode(
             {
                 "models": [{"name": self.model, "version": self.weights}],
@@ -414,7 +422,7 @@
             }
         )
 
-    def _cache_page(self, request: http1_server.CallerRequest) -> bytes:
+    def _encode_cache_page(self, request: http1_server.CallerRequest) -> bytes:
         since = int(request.target.partition(b"since=")[2] or 0)
         return msgspec.json.encode(
             {
@@ -425,7 +433,7 @@
             }
         )
 
-    async def _order(
+    async def _handle_order(
         self,
         request: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
@@ -433,37 +441,40 @@
         born_ms = self.born_ms
         order = Order(msgspec.json.decode(request.body), time.monotonic())
         self.received_order_count += 1
-        late_s = self.order_delay_s
+        hold_s = self.order_delay_s
         if self.unanswered_order_delays_s:
-            late_s = self.unanswered_order_delays_s.popleft()
-        if late_s:
-            await self._take_late(order, late_s, born_ms)
+            hold_s = self.unanswered_order_delays_s.popleft()
+        if hold_s:
+            await self._hold_order(order, hold_s, born_ms)
         if self.order_status:
             await answer.send_whole(self.order_status, [], b"")
             return
-        if not self._take_order(order):
+        if not self._accept_order(order):
             await answer.send_whole(409, [], b"")
             return
         try:
             await answer.send_whole(202, [], b"")
-        finally:  # it was taken, whether or not that could be told
+        finally:  # The order is accepted even if the answer was not sent.
             with anyio.CancelScope(shield=True):
-                await self._load(order, born_ms)
+                await self._load_weights(order, born_ms)
 
-    async def _take_late(
-        self, order: Order, late_s: float, born_ms: int
+    async def _hold_order(
+        self, order: Order, hold_s: float, born_ms: int
     ) -> None:
-        """Never returns: the order is not answered, and may be done late."""
-        with anyio.CancelScope(shield=math.isfinite(late_s)):
-            await anyio.sleep(late_s)
-            if born_ms == self.born_ms and self._take_order(order):
-                await self._load(order, born_ms)
+        """Executes an order after a delay if it is still valid.
+
+        Never returns, so that the order is not answered.
+        """
+        with anyio.CancelScope(shield=math.isfinite(hold_s)):
+            await anyio.sleep(hold_s)
+            if born_ms == self.born_ms and self._accept_order(order):
+                await self._load_weights(order, born_ms)
         await anyio.sleep_forever()
 
-    def _take_order(self, order: Order) -> bool:
-        """Returns whether an order fits what the target is doing, and notes it.
+    def _accept_order(self, order: Order) -> bool:
+        """Records an order if it is valid, and returns whether it is.
 
-        It counts as of the time at which it came.
+        The recorded time is the time of its arrival.
         """
         expected = order.fields["expectedRevision"]
         if expected != self.orders_taken or self.busy:
@@ -473,10 +484,10 @@
         self.busy = True
         return True
 
-    async def _load(self, order: Order, born_ms: int) -> None:
+    async def _load_weights(self, order: Order, born_ms: int) -> None:
         await anyio.sleep(self.load_s)
         if born_ms != self.born_ms:
-            return  # the start that took it has ended
+            return  # the target has restarted since
         self.weights = order.fields["version"]
         self.busy = False
 
@@ -484,7 +495,7 @@
         expected = request.get(b"x-expect-version")
         return bool(expected) and int(expected) != self.weights
 
-    async def _misdirect(
+    async def _refuse_wrong_instance(
         self,
         request: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
@@ -506,7 +517,7 @@
             (b"x-request-id", request.get(b"x-request-id")),
             (b"x-not-run", b"1"),
             (b"x-instance-id", self.name.encode()),
-            *self._announce(request),
+            *self._record_announcement(request),
         ]
         if self.backoff_s and status == 503:
             headers.append((b"retry-after", b"%g" % self.backoff_s))
@@ -548,15 +559,15 @@
         answer: http1_server.CallerAnswer,
         behaviour: Behaviour,
     ) -> None:
-        headers = self._headers(request)
-        body = self._body(request)
+        headers = self._answer_headers(request)
+        body = self._answer_body(request)
         if request.body in self.crash_bodies:
             await answer.begin(200, [*_EVENTS, *headers])
             self.crash()
             await anyio.sleep_forever()
         match behaviour:
             case Serve(delay_s):
-                await self._whole(request, answer, headers, delay_s)
+                await self._send_whole(request, answer, headers, delay_s)
             case Fail(status, retry_after_s):
                 if retry_after_s:
                     headers.append((b"retry-after", b"%g" % retry_after_s))
@@ -566,7 +577,7 @@
             case NeverAnswer():
                 await anyio.sleep_forever()
             case TruncateStream(events):
-                await self._cut(request, answer, headers, events)
+                await self._send_truncated(request, answer, headers, events)
             case MismatchedAnswer():
                 other = [pair for pair in headers if pair[0] != b"x-request-id"]
                 other.append((b"x-request-id", b"another"))
@@ -582,24 +593,26 @@
                     b"content-length: 4\r\n\r\nlate"
                 )
             case UnframedAnswer(reset):
-                await self._unframed(answer, headers, body, reset)
+                await self._send_unframed(answer, headers, body, reset)
 
-    def _announce(self, request: http1_server.CallerRequest) -> http1.Headers:
-        """Returns the headers of an answer to a request that announce."""
+    def _record_announcement(
+        self, request: http1_server.CallerRequest
+    ) -> http1.Headers:
+        """Records what an answer announces and returns its headers."""
         if self.announces_leaving or self.backoff_s:
             self.announcements.append(
                 Announcement(
                     request.get(b"x-request-id").decode(),
                     time.monotonic(),
-                    self._starts,
+                    self._start_count,
                     self.announces_leaving,
                     self.backoff_s,
                 )
             )
-        return self._announcements()
+        return self._announcement_headers()
 
-    def _announcements(self) -> http1.Headers:
-        """Returns the headers with which every answer tells how it stands."""
+    def _announcement_headers(self) -> http1.Headers:
+        """Returns the announcement headers of every answer."""
         headers = list(self.extra_headers)
         if self.limit_per_s is not None:
             headers.append((b"server-limit", str(self.limit_per_s).encode()))
@@ -607,18 +620,20 @@
             headers.append((b"server-leaving", b"1"))
         return headers
 
-    def _headers(self, request: http1_server.CallerRequest) -> http1.Headers:
+    def _answer_headers(
+        self, request: http1_server.CallerRequest
+    ) -> http1.Headers:
         headers = [
             (b"x-request-id", request.get(b"x-request-id")),
             (b"x-response-stamp", f"stamp-{self.name}".encode()),
-            *self._announce(request),
+            *self._record_announcement(request),
         ]
         if self.model:
             version = str(self.weights).encode()
             headers.append((b"x-weight-versions", version))
         return headers
 
-    async def _whole(
+    async def _send_whole(
         self,
         request: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
@@ -627,28 +642,34 @@
     ) -> None:
         if not self.model:
             await anyio.sleep(delay_s)
-            await answer.send_whole(200, headers, self._body(request))
+            await answer.send_whole(200, headers, self._answer_body(request))
             return
         await answer.begin(200, [*_EVENTS, *headers])
         for number in range(_first_event(request), self.events):
             await anyio.sleep(delay_s)
-            await answer.send(self.event(number, self._mark(request)))
+            await answer.send(
+                self.event(number, self._request_id_suffix(request))
+            )
         await answer.end()
 
     def event(self, number: int, mark: bytes = b"") -> bytes:
-        """Returns the bytes of one event of a stream."""
+        """Returns an encoded event of a stream."""
         return b"id: %d\ndata: event %d%b\n\n" % (number, number, mark)
 
-    def _body(self, request: http1_server.CallerRequest) -> bytes:
-        return b"answer of " + self.name.encode() + self._mark(request)
+    def _answer_body(self, request: http1_server.CallerRequest) -> bytes:
+        return (
+            b"answer of "
+            + self.name.encode()
+            + self._request_id_suffix(request)
+        )
 
-    def _mark(self, request: http1_server.CallerRequest) -> bytes:
-        """Returns what tells answers apart, if they are to be told apart."""
+    def _request_id_suffix(self, request: http1_server.CallerRequest) -> bytes:
+        """Returns a suffix with the request ID if answers include it."""
         if not self.includes_request_ids:
             return b""
         return b" to " + request.get(b"x-request-id")
 
-    async def _cut(
+    async def _send_truncated(
         self,
         request: http1_server.CallerRequest,
         answer: http1_server.CallerAnswer,
@@ -658,11 +679,13 @@
         await answer.begin(200, [*_EVENTS, *headers])
         first = _first_event(request)
         for number in range(first, min(first + events, self.events)):
-            await answer.send(self.event(number, self._mark(request)))
+            await answer.send(
+                self.event(number, self._request_id_suffix(request))
+            )
         await answer.send(b"id: 99\nda")
         raise http1_server.BrokenAnswerError
 
-    async def _unframed(
+    async def _send_unframed(
         self,
         answer: http1_server.CallerAnswer,
         headers: http1.Headers,
@@ -687,10 +710,10 @@
     return int(last) + 1 if last else 0
 
 
-def _nothing() -> None:
-    """Stands for nothing that ends a target."""
+def _do_nothing() -> None:
+    """Does nothing; the default of `crash`."""
 
 
-def _ignore(status: int, reason: str) -> None:
-    """Stands for nobody who counts unreadable requests."""
+def _ignore_unreadable_request(status: int, reason: str) -> None:
+    """Ignores requests that cannot be parsed."""
     del status, reason
--- a/hillthread/standin/services.py
+++ b/hillthread/standin/services.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform: a log, a host list, a plain service."""
+"""Stand-ins of the platform: a log, a target list and a plain service."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 __all__ = ["HostListStandin", "LogStandin", "PlainStandin", "StandinSettings"]
 
-_MAX_BODY = 67_108_864
-_DEFAULT_BATCH = 500
+_MAX_BODY_BYTES = 67_108_864
+_DEFAULT_PAGE_RECORDS = 500
 
 
 class StandinSettings(settings_lib.SettingsStruct, frozen=True, kw_only=True):
     """Settings of a platform stand-in.
 
     Attributes:
-        listen: Where it serves.
-        lag_s: Age of what the host list tells.
+        listen: Address that it listens on.
+        lag_s: Age of the target list that it reports.
     """
 
     listen: settings_lib.Address = "127.0.0.1:0"
@@ -31,7 +31,7 @@
 
 
 class _Standin:
-    """What the stand-ins share: a server and a control page for tests."""
+    """Base of the stand-ins: a server and a control page for tests."""
 
     def __init__(self, settings: StandinSettings):
         self.settings = settings
@@ -46,7 +46,7 @@
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
         """Serves one request."""
-        body = await request.body(_MAX_BODY)
+        body = await request.body(_MAX_BODY_BYTES)
         if request.path == "/control":
             self.faults.update(msgspec.json.decode(body))
             self.apply_control()
@@ -58,7 +58,7 @@
         await self.answer(request, body, send)
 
     def apply_control(self) -> None:
-        """Acts on faults that are done at once."""
+        """Applies the requested faults that take effect once."""
 
     async def answer(
         self, request: http_server.Request, body: bytes, send
@@ -68,11 +68,11 @@
 
 
 class LogStandin(_Standin):
-    """An append-only log with offsets, retention and outages.
+    """An append-only log with offsets, truncation and injected faults.
 
     Attributes:
-        streams: Records of each stream, from its first retained offset.
-        first: First retained offset of each stream.
+        streams: Retained records of each stream.
+        first_offsets: Offset of the first retained record of each stream.
     """
 
     def __init__(self, settings: StandinSettings):
@@ -84,7 +84,7 @@
         self.random = random.Random(1)
 
     def apply_control(self) -> None:
-        """`truncate`, `rollback`: {stream: offset}; others are states."""
+        """Applies `truncate` and `rollback`, which map streams to offsets."""
         for stream, offset in self.faults.pop("truncate", {}).items():
             first = self.first_offsets.get(stream, 0)
             self.streams[stream] = self.streams[stream][offset - first :]
@@ -127,7 +127,7 @@
         self, stream: str, request: http_server.Request, send
     ) -> None:
         start = int(request.parameter("from", "0"))
-        limit = int(request.parameter("max", str(_DEFAULT_BATCH)))
+        limit = int(request.parameter("max", str(_DEFAULT_PAGE_RECORDS)))
         with anyio.move_on_after(float(request.parameter("wait_s", "0"))):
             while start >= self._next(stream):
                 await self.changed.wait()
@@ -156,10 +156,10 @@
 
 
 class HostListStandin(_Standin):
-    """A list of live and leaving targets that lags.
+    """A list of live and leaving targets that is reported with a delay.
 
     Attributes:
-        versions: What was listed since when.
+        versions: Monotonic time and targets of each version of the list.
     """
 
     def __init__(self, settings: StandinSettings):
@@ -167,7 +167,7 @@
         self.versions: list[tuple[float, list[Any]]] = [(0.0, [])]
 
     def apply_control(self) -> None:
-        """`targets`: the new list."""
+        """Applies `targets`, which holds a new list."""
         if "targets" in self.faults:
             listed = self.faults.pop("targets")
             self.versions.append((time.monotonic(), listed))
@@ -183,10 +183,10 @@
 
 
 class PlainStandin(_Standin):
-    """A plain service that notes each call it runs.
+    """A plain service that records each call and echoes it.
 
     Attributes:
-        journal: Method, path and body length of each call.
+        journal: Method, path, attempt ID and body of each call.
     """
 
     def __init__(self, settings: StandinSettings):
--- a/tests/standin/test_platform_store.py
+++ b/tests/standin/test_platform_store.py
@@ -1,4 +1,4 @@
-"""Tests of what the stand-in of the store forgets."""
+"""Tests of truncation, restoration and reads in the store stand-in."""
 
 import unittest
 
@@ -14,12 +14,12 @@
 
 
 def at(offset):
-    """Returns a position in a store that tells no era."""
+    """Returns a position in a store that sends no era."""
     return position.Position(0, offset)
 
 
 class DropHistoryTest(unittest.TestCase):
-    def test_young_records_and_the_newest_of_each_key_stay(self):
+    def test_recent_records_and_newest_values_are_kept(self):
         async def run():
             store = platform_store.PlatformStoreStandin()
             client = store_lib.StoreClient(store.address)
@@ -42,7 +42,7 @@
 
         anyio.run(run)
 
-    def test_read_behind_the_end_is_refused(self):
+    def test_read_beyond_the_end_is_refused(self):
         async def run():
             store = platform_store.PlatformStoreStandin()
             client = store_lib.StoreClient(store.address)
@@ -57,7 +57,7 @@
 
         anyio.run(run)
 
-    def test_backup_is_not_changed_by_what_follows(self):
+    def test_later_changes_do_not_affect_a_backup(self):
         store = platform_store.PlatformStoreStandin()
         store.era = 1
         store.put(_KEYED, "key", 1)
@@ -70,7 +70,7 @@
             self.assertEqual(store.topics[_KEYED].end, 1)
         self.assertEqual(store.era, 3)
 
-    def test_all_records_go_when_none_are_kept(self):
+    def test_all_records_are_dropped_by_default(self):
         store = platform_store.PlatformStoreStandin()
         store.put(_KEYED, "key", 1)
         store.drop_history()
--- a/tests/standin/test_platform_target.py
+++ b/tests/standin/test_platform_target.py
@@ -1,4 +1,4 @@
-"""Tests of how the stand-in of a target takes orders, and cuts streams."""
+"""Tests of orders and truncated streams of the target stand-in."""
 
 import contextlib
 import unittest
@@ -9,12 +9,12 @@
 from hillthread.standin import platform_target
 from hillthread.transport import http1_client
 
-_LATE_S = 0.3
-_SOON_S = 0.1
+_ORDER_DELAY_S = 0.3
+_SHORT_WAIT_S = 0.1
 
 
 class _Engine:
-    """An engine with weights 1, and orders to it."""
+    """An engine with weights version 1 and a client that sends it orders."""
 
     def __init__(self):
         self.target = platform_target.PlatformTargetStandin("i-0", "e", "m")
@@ -22,7 +22,7 @@
         self.pool = http1_client.ConnectionPool(1.0)
 
     async def order(self, version, expected):
-        """Returns the status; None when there was no answer soon."""
+        """Sends an order; returns its status, or None if the call fails."""
         body = msgspec.json.encode(
             {
                 "op": "version",
@@ -37,19 +37,19 @@
         )
         try:
             answer = await http1_client.call(
-                self.pool, self.target.address, request, _SOON_S, 1000
+                self.pool, self.target.address, request, _SHORT_WAIT_S, 1000
             )
         except http1_client.CallError:
             return None
         return answer.head.status
 
 
-def _play(story):
+def _run_scenario(scenario):
     async def run():
         engine = _Engine()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(engine.target.server.serve)
-            await story(engine)
+            await scenario(engine)
             await engine.pool.drop(engine.target.address)
             tasks.cancel_scope.cancel()
 
@@ -57,44 +57,44 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_late_order_is_unanswered_and_carried_out_later(self):
-        async def story(engine):
-            engine.target.order_delay_s = _LATE_S
+    def test_delayed_order_is_executed_without_an_answer(self):
+        async def scenario(engine):
+            engine.target.order_delay_s = _ORDER_DELAY_S
             self.assertIsNone(await engine.order(2, 0))
             self.assertEqual(engine.target.weights, 1)
-            await anyio.sleep(_LATE_S + _SOON_S)
+            await anyio.sleep(_ORDER_DELAY_S + _SHORT_WAIT_S)
             self.assertEqual(engine.target.weights, 2)
 
-        _play(story)
+        _run_scenario(scenario)
 
-    def test_late_order_that_does_not_fit_any_more_is_dropped(self):
-        async def story(engine):
-            engine.target.order_delay_s = _LATE_S
+    def test_delayed_order_that_became_invalid_is_dropped(self):
+        async def scenario(engine):
+            engine.target.order_delay_s = _ORDER_DELAY_S
             self.assertIsNone(await engine.order(2, 0))
             engine.target.order_delay_s = 0.0
             self.assertEqual(await engine.order(3, 0), 202)
-            await anyio.sleep(_LATE_S + _SOON_S)
+            await anyio.sleep(_ORDER_DELAY_S + _SHORT_WAIT_S)
             self.assertEqual(engine.target.weights, 3)
             versions = [order["version"] for order in engine.target.orders]
             self.assertEqual(versions, [3])
 
-        _play(story)
+        _run_scenario(scenario)
 
-    def test_order_whose_caller_left_is_carried_out(self):
-        async def story(engine):
-            engine.target.load_s = _SOON_S
+    def test_order_is_executed_after_its_caller_disconnects(self):
+        async def scenario(engine):
+            engine.target.load_s = _SHORT_WAIT_S
             await engine.order(2, 0)
             await engine.pool.drop(engine.target.address)
-            await anyio.sleep(2 * _SOON_S)
+            await anyio.sleep(2 * _SHORT_WAIT_S)
             self.assertEqual(engine.target.weights, 2)
             self.assertFalse(engine.target.busy)
 
-        _play(story)
+        _run_scenario(scenario)
 
 
-class CutTest(unittest.TestCase):
-    def test_cut_stream_has_no_events_beyond_its_last(self):
-        async def story(engine):
+class TruncatedStreamTest(unittest.TestCase):
+    def test_truncated_stream_stops_at_its_last_event(self):
+        async def scenario(engine):
             engine.target.queue_behaviours(
                 platform_target.TruncateStream(events=3)
             )
@@ -111,4 +111,4 @@
             self.assertIn(b"id: 3\n", answer)
             self.assertNotIn(b"id: 4\n", answer)
 
-        _play(story)
+        _run_scenario(scenario)
