--- a/hillthread/standin/fault_proxy.py
+++ b/hillthread/standin/fault_proxy.py
@@ -1,7 +1,7 @@
 """A proxy that injects faults between a client and one upstream server.
 
-Requests and answers are parsed by h11, so that a fault can be placed at a
-step of the exchange: before the request, after it, within the answer.
+The proxy parses requests and answers with h11, so that a fault can be injected
+before the request, after the request or within the answer.
 """
 
 from __future__ import annotations
@@ -52,9 +52,9 @@
     """Settings of the fault proxy.
 
     Attributes:
-        listen: Where the control page is served.
-        traffic_listen: Where clients connect.
-        upstream: Where their requests go.
+        listen: Address of the control page.
+        traffic_listen: Address that clients connect to.
+        upstream: Address that requests are forwarded to.
     """
 
     listen: settings_lib.Address = "127.0.0.1:0"
@@ -63,15 +63,15 @@
 
 
 class Fault(msgspec.Struct, kw_only=True):
-    """One planned fault.
+    """A planned fault.
 
     Attributes:
         fault: One of `FAULTS`.
-        times: Requests it befalls; -1 for all.
-        method: Requests of this method only; empty for all.
-        after: Events of the answer before it.
+        times: Number of requests that it affects; -1 for all.
+        method: Method of affected requests; empty for all.
+        after: Number of events of the answer before the fault.
         seconds: Length of a delay.
-        skip: Matching requests that pass before the first.
+        skip: Number of matching requests forwarded before the first fault.
     """
 
     fault: str
@@ -82,23 +82,25 @@
     skip: int = 0
 
 
-class _Answer(NamedTuple):
-    """An upstream's answer, read whole."""
+class _RecordedAnswer(NamedTuple):
+    """A complete answer of the upstream server."""
 
     head: h11.Response
     body: list[bytes]
 
 
 class _ResetError(Exception):
-    """The client's connection is to be reset."""
+    """Raised to reset the connection of the client."""
 
 
 class FaultProxy:
-    """Passes requests on, with the faults that were planned.
+    """Forwards requests and injects the planned faults.
 
     Attributes:
-        plan: Faults still to happen.
-        injected: Faults that have happened, by name.
+        plan: Planned faults.
+        injected: Number of injected faults by name.
+        last_answer: The last forwarded answer, for crossed answers.
+        address: `IP:port` that clients connect to.
     """
 
     def __init__(self, settings: ProxySettings):
@@ -106,7 +108,7 @@
         self.plan: list[Fault] = []
         self.injected: dict[str, int] = {}
         self.server = http_server.Server(settings.listen, self.handle)
-        self.last_answer: _Answer | None = None
+        self.last_answer: _RecordedAnswer | None = None
         self.clients: set[anyio.abc.SocketStream] = set()
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.bind(settings_lib.split_address(settings.traffic_listen))
@@ -125,7 +127,7 @@
     async def handle(
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
-        """Takes plans of faults and tells what was injected."""
+        """Replaces the plan on POST and reports the injected faults."""
         if request.method == "POST":
             body = await request.body(_READ_BYTES)
             self.plan = msgspec.json.decode(body, type=list[Fault])
@@ -137,14 +139,14 @@
 
     async def _accept(self, tasks: anyio.abc.TaskGroup) -> None:
         listener = await anyio.abc.SocketListener.from_socket(self.listener)
-        await listener.serve(self._connection, tasks)
+        await listener.serve(self._handle_connection, tasks)
 
     async def _close_clients(self) -> None:
-        """Closes kept connections, so that the next request opens one."""
+        """Closes kept-alive connections so that the next request reconnects."""
         for client in list(self.clients):
             await anyio.aclose_forcefully(client)
 
-    async def _connection(self, client: anyio.abc.SocketStream) -> None:
+    async def _handle_connection(self, client: anyio.abc.SocketStream) -> None:
         self.clients.add(client)
         try:
             await self._serve_client(client)
@@ -152,7 +154,7 @@
             self.clients.discard(client)
 
     async def _serve_client(self, client: anyio.abc.SocketStream) -> None:
-        if self._take("", "reset_on_accept"):
+        if self._next_fault("", "reset_on_accept"):
             await _reset(client)
             return
         server_side = h11.Connection(h11.SERVER)
@@ -168,25 +170,28 @@
             await anyio.aclose_forcefully(client)
 
     async def _exchange(
-        self, client: anyio.abc.SocketStream, side: h11.Connection
+        self, client: anyio.abc.SocketStream, client_side: h11.Connection
     ) -> bool:
-        """Passes one request; returns whether another may follow."""
-        request, body = await _read_message(client, side)
+        """Forwards a request; returns whether another may follow."""
+        request, body = await _read_message(client, client_side)
         if not isinstance(request, h11.Request):
             return False
-        fault = self._take(request.method.decode(), None)
+        fault = self._next_fault(request.method.decode(), None)
         if fault is not None:
-            await self._before_request(client, side, fault)
-            if side.our_state is h11.DONE:
-                return side.their_state is h11.DONE
+            await self._inject_before_request(client, client_side, fault)
+            if client_side.our_state is h11.DONE:
+                return client_side.their_state is h11.DONE
         try:
-            await self._forward(client, side, request, body, fault)
+            await self._forward(client, client_side, request, body, fault)
         except (anyio.EndOfStream, h11.RemoteProtocolError) as error:
             raise _ResetError from error
-        return side.our_state is h11.DONE and side.their_state is h11.DONE
+        return (
+            client_side.our_state is h11.DONE
+            and client_side.their_state is h11.DONE
+        )
 
-    def _take(self, method: str, name: str | None) -> Fault | None:
-        """Returns the next planned fault for a request, and counts it."""
+    def _next_fault(self, method: str, name: str | None) -> Fault | None:
+        """Returns and counts the next planned fault for a request."""
         for fault in self.plan:
             at_accept = fault.fault == "reset_on_accept"
             if fault.times == 0 or at_accept != (name is not None):
@@ -202,8 +207,11 @@
             return fault
         return None
 
-    async def _before_request(
-        self, client: anyio.abc.SocketStream, side: h11.Connection, fault: Fault
+    async def _inject_before_request(
+        self,
+        client: anyio.abc.SocketStream,
+        client_side: h11.Connection,
+        fault: Fault,
     ) -> None:
         match fault.fault:
             case "drop_request":
@@ -215,85 +223,94 @@
                 await anyio.sleep(fault.seconds)
             case "status_500" | "status_503":
                 status = int(fault.fault[-3:])
-                await _send(client, side, _plain_head(status))
-                await _send(client, side, h11.EndOfMessage())
+                await _send(client, client_side, _empty_response(status))
+                await _send(client, client_side, h11.EndOfMessage())
 
     async def _forward(
         self,
         client: anyio.abc.SocketStream,
-        side: h11.Connection,
+        client_side: h11.Connection,
         request: h11.Request,
         body: bytes,
         fault: Fault | None,
     ) -> None:
         ip, port = settings_lib.split_address(self.settings.upstream)
         async with await anyio.connect_tcp(ip, port) as upstream:
-            up = h11.Connection(h11.CLIENT)
-            await _send(upstream, up, request)
+            upstream_side = h11.Connection(h11.CLIENT)
+            await _send(upstream, upstream_side, request)
             if body:
-                await _send(upstream, up, h11.Data(body))
-            await _send(upstream, up, h11.EndOfMessage())
+                await _send(upstream, upstream_side, h11.Data(body))
+            await _send(upstream, upstream_side, h11.EndOfMessage())
             if fault is not None and fault.fault == "reset_after_request":
                 await anyio.sleep(_PAUSE_S)
                 raise _ResetError
-            await self._relay(client, side, upstream, up, fault)
+            await self._relay(
+                client, client_side, upstream, upstream_side, fault
+            )
 
     async def _relay(
         self,
         client: anyio.abc.SocketStream,
-        side: h11.Connection,
+        client_side: h11.Connection,
         upstream: anyio.abc.SocketStream,
-        up: h11.Connection,
+        upstream_side: h11.Connection,
         fault: Fault | None,
     ) -> None:
-        head = await _next_event(upstream, up)
+        head = await _next_event(upstream, upstream_side)
         assert isinstance(head, h11.Response)
         name = fault.fault if fault else ""
         other = self.last_answer
         if name == "crossed_answer" and other is not None:
-            await self._send_other(client, side, other.head, other.body)
+            await self._send_recorded(
+                client, client_side, other.head, other.body
+            )
             return
         if name == "crossed_body" and other is not None:
-            await self._send_other(client, side, head, other.body)
+            await self._send_recorded(client, client_side, head, other.body)
             return
         if name == "empty_200":
-            await _send(client, side, _plain_head(200, head))
-            await _send(client, side, h11.EndOfMessage())
+            await _send(client, client_side, _empty_response(200, head))
+            await _send(client, client_side, h11.EndOfMessage())
             return
         if name != "lose_answer":
-            await _send(client, side, head)
-        kept: list[bytes] = []
-        async for event in _events(upstream, up):
-            await self._relay_event(client, side, event, len(kept), fault)
-            kept.append(event)
-            if name == "truncate_clean" and len(kept) >= (fault or _NONE).after:
+            await _send(client, client_side, head)
+        received: list[bytes] = []
+        async for event in _read_events(upstream, upstream_side):
+            await self._relay_event(
+                client, client_side, event, len(received), fault
+            )
+            received.append(event)
+            if (
+                name == "truncate_clean"
+                and len(received) >= (fault or _NO_FAULT).after
+            ):
                 break
         if name == "lose_answer":
             raise _ResetError
-        self.last_answer = _Answer(head, kept)
-        await _send(client, side, h11.EndOfMessage())
+        self.last_answer = _RecordedAnswer(head, received)
+        await _send(client, client_side, h11.EndOfMessage())
 
-    async def _send_other(
+    async def _send_recorded(
         self,
         client: anyio.abc.SocketStream,
-        side: h11.Connection,
+        client_side: h11.Connection,
         head: h11.Response,
         body: list[bytes],
     ) -> None:
-        await _send(client, side, head)
+        await _send(client, client_side, head)
         for each in body:
-            await _send(client, side, h11.Data(each))
-        await _send(client, side, h11.EndOfMessage())
+            await _send(client, client_side, h11.Data(each))
+        await _send(client, client_side, h11.EndOfMessage())
 
     async def _relay_event(
         self,
         client: anyio.abc.SocketStream,
-        side: h11.Connection,
+        client_side: h11.Connection,
         event: bytes,
         number: int,
         fault: Fault | None,
     ) -> None:
-        fault = fault or _NONE
+        fault = fault or _NO_FAULT
         reached = number >= fault.after
         match fault.fault:
             case "lose_answer":
@@ -308,17 +325,19 @@
             case "drop_event" if number == fault.after:
                 return
             case "duplicate_events":
-                await _send(client, side, h11.Data(event))
+                await _send(client, client_side, h11.Data(event))
             case "slow":
                 await anyio.sleep(_PAUSE_S)
-        await _send(client, side, h11.Data(event))
+        await _send(client, client_side, h11.Data(event))
 
 
-_NONE = Fault(fault="")
+_NO_FAULT = Fault(fault="")
 
 
-def _plain_head(status: int, like: h11.Response | None = None) -> h11.Response:
-    """Returns the head of an answer without a body."""
+def _empty_response(
+    status: int, like: h11.Response | None = None
+) -> h11.Response:
+    """Returns the response head of an answer without a body."""
     headers = [(b"content-length", b"0")]
     if like is not None:
         headers += [
@@ -353,7 +372,7 @@
 async def _read_message(
     stream: anyio.abc.SocketStream, connection: h11.Connection
 ) -> tuple[Any, bytes]:
-    """Returns the head and the body of a request; no head at the end."""
+    """Returns the head and body of a request, or None after the last."""
     head = await _next_event(stream, connection)
     if not isinstance(head, h11.Request):
         return None, b""
@@ -365,10 +384,10 @@
         body += event.data
 
 
-async def _events(
+async def _read_events(
     stream: anyio.abc.SocketStream, connection: h11.Connection
 ) -> AsyncIterator[bytes]:
-    """Yields the body's server-sent events, or other bodies in parts."""
+    """Yields the server-sent events of a body, and any remaining bytes."""
     rest = b""
     while True:
         event = await _next_event(stream, connection)
@@ -384,7 +403,7 @@
 
 
 async def _wait_closed(stream: anyio.abc.SocketStream) -> None:
-    """Returns when the other side has closed or sent more."""
+    """Waits until the other side closes the connection or sends data."""
     try:
         await stream.receive(1)
     except (anyio.EndOfStream, anyio.BrokenResourceError):
--- a/hillthread/standin/wire_proxy.py
+++ b/hillthread/standin/wire_proxy.py
@@ -1,8 +1,9 @@
-"""A proxy that passes bytes on, and treats connections as a bad link does.
+"""A TCP and UDP proxy that simulates a faulty network link.
 
-It looks at no message: links delay, stop in one direction or both, and reset.
-What a link holds up is delivered when it heals, as retransmission would. What a
-silenced connection holds is never delivered, nor is its end.
+It does not parse messages. It delays data, blocks one direction or both, and
+resets connections. Blocked data is delivered once the link is healed, as TCP
+retransmission would do. Data and the end of a silenced connection are never
+delivered.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 _BACKLOG = 256
 _READ_BYTES = 65_536
 _RESET_LINGER = struct.pack("ii", 1, 0)
-_LOST = (
+_CONNECTION_ERRORS = (
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
     anyio.EndOfStream,
@@ -31,21 +32,22 @@
 
 
 class Direction(enum.StrEnum):
-    """Which way bytes go."""
+    """The direction of a data flow."""
 
     TO_SERVER = "there"
     TO_CLIENT = "back"
 
 
 class WireProxy:
-    """Stands on the link between clients and one server.
+    """Forwards connections and datagrams of clients to a server.
 
     Attributes:
-        upstream: `IP:port` of the server; may be changed at any time. Empty
-            while there is none: connections are then reset.
-        address: `IP:port` where clients connect.
-        delay_s: Added to each piece of data.
-        connections: Connections that are open.
+        upstream: `IP:port` of the server; may be changed at any time. While
+            it is empty, new connections are reset.
+        address: `IP:port` that clients connect to.
+        delay_s: Delay before each chunk of data is forwarded.
+        connections: Open sockets of both sides, without silenced ones.
+        listener: Listening socket at `address`.
     """
 
     def __init__(self, upstream: str = ""):
@@ -53,7 +55,7 @@
         self.delay_s = 0.0
         self.connections: set[anyio.abc.SocketStream] = set()
         self._silenced: set[anyio.abc.SocketStream] = set()
-        self._open = {direction: anyio.Event() for direction in Direction}
+        self._flowing = {direction: anyio.Event() for direction in Direction}
         self.heal()
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.bind(("127.0.0.1", 0))
@@ -63,69 +65,72 @@
         self.address = f"{ip}:{port}"
 
     def cut(self, *directions: Direction) -> None:
-        """Holds up what goes in some directions; all when none is named."""
+        """Blocks data in the given directions, or in both if none is given."""
         for direction in directions or tuple(Direction):
-            if self._open[direction].is_set():
-                self._open[direction] = anyio.Event()
+            if self._flowing[direction].is_set():
+                self._flowing[direction] = anyio.Event()
 
     def heal(self) -> None:
-        """Passes everything on at once again."""
+        """Unblocks all directions and removes the delay."""
         self.delay_s = 0.0
-        for event in self._open.values():
+        for event in self._flowing.values():
             event.set()
 
     def silence(self) -> None:
-        """Passes nothing on any more for connections that are open now.
+        """Stops forwarding on all open connections for good.
 
-        Neither side hears of it, nor of the other's end; new connections work.
+        Neither side is notified, not even when the other side closes its
+        connection. New connections work.
         """
         self._silenced |= self.connections
         self.connections.clear()
 
     async def reset(self) -> None:
-        """Resets all open connections but those that were silenced."""
+        """Resets all open connections except silenced ones."""
         for stream in list(self.connections):
             _reset_at_close(stream)
             await anyio.aclose_forcefully(stream)
 
     async def serve(self) -> None:
-        """Passes connections on until cancelled."""
+        """Forwards connections until cancelled."""
         listener = await anyio.abc.SocketListener.from_socket(self.listener)
         async with listener:
-            await listener.serve(self._pass_on)
+            await listener.serve(self._forward)
 
     async def serve_datagrams(self) -> None:
-        """Passes datagrams on, too, while nothing is cut; until cancelled."""
+        """Forwards datagrams while no direction is cut, until cancelled."""
         ip, port = settings_lib.split_address(self.address)
-        opened = await anyio.create_udp_socket(
+        udp_socket = await anyio.create_udp_socket(
             family=socket.AF_INET, local_host=ip, local_port=port
         )
-        async with opened:
-            async for packet, _ in opened:
-                is_open = all(event.is_set() for event in self._open.values())
+        async with udp_socket:
+            async for datagram, _ in udp_socket:
+                is_open = all(
+                    event.is_set() for event in self._flowing.values()
+                )
                 if self.upstream and is_open:
                     server = settings_lib.split_address(self.upstream)
-                    await opened.sendto(packet, *server)
+                    await udp_socket.sendto(datagram, *server)
 
-    async def _pass_on(self, client: anyio.abc.SocketStream) -> None:
+    async def _forward(self, client: anyio.abc.SocketStream) -> None:
         server = await self._connect()
         if server is None:
             _reset_at_close(client)
             await anyio.aclose_forcefully(client)
             return
-        ends = {client, server}
-        self.connections |= ends
+        both_sides = {client, server}
+        self.connections |= both_sides
         try:
             async with client, server:
                 await self._pump_both(client, server)
-        except* _LOST:
-            pass  # one side is gone; the other was closed with it
+        except* _CONNECTION_ERRORS:
+            pass  # a side has disconnected; both are closed
         finally:
-            self.connections -= ends
-            self._silenced -= ends
+            self.connections -= both_sides
+            self._silenced -= both_sides
 
     async def _connect(self) -> anyio.abc.SocketStream | None:
-        """Returns a connection to the server, or None when it is not there."""
+        """Returns a connection to the server, or None if it is unreachable."""
         if not self.upstream:
             return None
         ip, port = settings_lib.split_address(self.upstream)
@@ -145,8 +150,8 @@
                 tasks.start_soon(
                     self._pump, server, client, Direction.TO_CLIENT
                 )
-        except* _LOST:
-            # A reset on one side is one on the other, not an orderly end.
+        except* _CONNECTION_ERRORS:
+            # Forward a reset as a reset, not as an orderly close.
             _reset_at_close(client)
             _reset_at_close(server)
 
@@ -158,7 +163,7 @@
     ) -> None:
         while True:
             data = await self._receive(source)
-            await self._open[direction].wait()
+            await self._flowing[direction].wait()
             if source in self._silenced:
                 await anyio.sleep_forever()
             if not data:
@@ -169,19 +174,19 @@
             await sink.send(data)
 
     async def _receive(self, source: anyio.abc.SocketStream) -> bytes:
-        """Returns what came; nothing at the end of the connection."""
+        """Returns received data, or no bytes at the end of the connection."""
         try:
             return await source.receive(_READ_BYTES)
         except anyio.EndOfStream:
             return b""
-        except _LOST:
+        except _CONNECTION_ERRORS:
             if source in self._silenced:
                 return b""
             raise
 
 
 def _reset_at_close(stream: anyio.abc.SocketStream) -> None:
-    """Has the coming close of a connection reset it."""
+    """Sets up a connection to be reset when it is closed."""
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-    with contextlib.suppress(OSError):  # it has just been closed
+    with contextlib.suppress(OSError):  # already closed
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_LINGER)
--- a/tests/standin/test_wire_proxy.py
+++ b/tests/standin/test_wire_proxy.py
@@ -1,4 +1,4 @@
-"""Tests of the link that passes bytes on."""
+"""Tests of the proxy that simulates a faulty network link."""
 
 import socket
 import struct
@@ -9,13 +9,13 @@
 
 from hillthread.standin import wire_proxy
 
-_SOON_S = 0.2
-_LONG_S = 5.0
+_SHORT_WAIT_S = 0.2
+_MAX_WAIT_S = 5.0
 _RESET_LINGER = struct.pack("ii", 1, 0)
 
 
-class _Site:
-    """An upstream that notes connections, and a link to it."""
+class _ProxySetup:
+    """An upstream server that keeps connections, and a proxy to it."""
 
     def __init__(self):
         self.connections = []
@@ -36,19 +36,19 @@
         await anyio.sleep_forever()
 
     async def connect(self):
-        """Returns both ends of a new connection over the link."""
+        """Returns the client and server side of a new proxied connection."""
         before = len(self.connections)
         ip, port = self.link.address.split(":")
         client = await anyio.connect_tcp(ip, int(port))
         self.clients.append(client)
-        with anyio.fail_after(_LONG_S):
+        with anyio.fail_after(_MAX_WAIT_S):
             while len(self.connections) == before:  # noqa: ASYNC110
                 await anyio.sleep(0.01)
         return client, self.connections[-1]
 
 
-async def _hears(stream, within_s=_LONG_S):
-    """Returns what a side hears; None for nothing at all in that time."""
+async def _receive(stream, within_s=_MAX_WAIT_S):
+    """Returns received bytes, b"" at the end, or None after the timeout."""
     with anyio.move_on_after(within_s):
         try:
             return await stream.receive()
@@ -57,13 +57,13 @@
     return None
 
 
-def _play(story):
+def _run_scenario(scenario):
     async def run():
-        site = _Site()
+        setup = _ProxySetup()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(site.run)
-            await story(site)
-            for stream in (*site.clients, *site.connections):
+            tasks.start_soon(setup.run)
+            await scenario(setup)
+            for stream in (*setup.clients, *setup.connections):
                 await stream.aclose()
             tasks.cancel_scope.cancel()
 
@@ -71,55 +71,55 @@
 
 
 class SilencedConnectionTest(unittest.TestCase):
-    def test_silenced_connection_passes_nothing_on_either_way(self):
-        async def story(site):
-            client, server = await site.connect()
+    def test_silenced_connection_forwards_no_data(self):
+        async def scenario(setup):
+            client, server = await setup.connect()
             await client.send(b"before")
-            self.assertEqual(await _hears(server), b"before")
-            site.link.silence()
+            self.assertEqual(await _receive(server), b"before")
+            setup.link.silence()
             await client.send(b"after")
             await server.send(b"after")
-            self.assertIsNone(await _hears(server, _SOON_S))
-            self.assertIsNone(await _hears(client, _SOON_S))
+            self.assertIsNone(await _receive(server, _SHORT_WAIT_S))
+            self.assertIsNone(await _receive(client, _SHORT_WAIT_S))
 
-        _play(story)
+        _run_scenario(scenario)
 
-    def test_end_and_reset_of_one_side_are_not_heard_either(self):
-        async def story(site):
-            client, server = await site.connect()
-            site.link.silence()
-            site.link.heal()
-            await site.link.reset()
+    def test_silenced_connection_forwards_no_end_or_reset(self):
+        async def scenario(setup):
+            client, server = await setup.connect()
+            setup.link.silence()
+            setup.link.heal()
+            await setup.link.reset()
             await client.aclose()
-            self.assertIsNone(await _hears(server, _SOON_S))
+            self.assertIsNone(await _receive(server, _SHORT_WAIT_S))
 
-        _play(story)
+        _run_scenario(scenario)
 
     def test_new_connections_work(self):
-        async def story(site):
-            await site.connect()
-            site.link.silence()
-            client, server = await site.connect()
+        async def scenario(setup):
+            await setup.connect()
+            setup.link.silence()
+            client, server = await setup.connect()
             await client.send(b"new")
-            self.assertEqual(await _hears(server), b"new")
+            self.assertEqual(await _receive(server), b"new")
 
-        _play(story)
+        _run_scenario(scenario)
 
 
 class OpenConnectionTest(unittest.TestCase):
-    def test_end_is_passed_on_as_an_end(self):
-        async def story(site):
-            client, server = await site.connect()
+    def test_orderly_close_is_forwarded(self):
+        async def scenario(setup):
+            client, server = await setup.connect()
             await client.send_eof()
-            self.assertEqual(await _hears(server), b"")
+            self.assertEqual(await _receive(server), b"")
             await server.send(b"answer")
-            self.assertEqual(await _hears(client), b"answer")
+            self.assertEqual(await _receive(client), b"answer")
 
-        _play(story)
+        _run_scenario(scenario)
 
-    def test_reset_is_passed_on_as_a_reset(self):
-        async def story(site):
-            client, server = await site.connect()
+    def test_reset_is_forwarded(self):
+        async def scenario(setup):
+            client, server = await setup.connect()
             raw = server.extra(anyio.abc.SocketAttribute.raw_socket)
             raw.setsockopt(
                 socket.SOL_SOCKET,
@@ -128,24 +128,24 @@
             )
             await anyio.aclose_forcefully(server)
             with self.assertRaises(anyio.BrokenResourceError):
-                await _hears(client)
+                await _receive(client)
 
-        _play(story)
+        _run_scenario(scenario)
 
     def test_connection_is_reset_while_there_is_no_upstream(self):
-        async def story(site):
-            site.link.upstream = ""
-            ip, port = site.link.address.split(":")
+        async def scenario(setup):
+            setup.link.upstream = ""
+            ip, port = setup.link.address.split(":")
             client = await anyio.connect_tcp(ip, int(port))
-            site.clients.append(client)
+            setup.clients.append(client)
             with self.assertRaises(anyio.BrokenResourceError):
-                await _hears(client)
+                await _receive(client)
 
-        _play(story)
+        _run_scenario(scenario)
 
 
-class PacketTest(unittest.TestCase):
-    def test_packets_pass_unless_the_link_is_cut(self):
+class DatagramTest(unittest.TestCase):
+    def test_datagrams_are_forwarded_unless_the_link_is_cut(self):
         async def run():
             async with (
                 anyio.create_task_group() as tasks,
@@ -155,17 +155,17 @@
                 ip, port = server.extra(anyio.abc.SocketAttribute.local_address)
                 link = wire_proxy.WireProxy(f"{ip}:{port}")
                 tasks.start_soon(link.serve_datagrams)
-                await anyio.sleep(_SOON_S)
-                there, number = link.address.split(":")
-                await client.sendto(b"before", there, int(number))
-                with anyio.fail_after(_LONG_S):
+                await anyio.sleep(_SHORT_WAIT_S)
+                proxy_ip, proxy_port = link.address.split(":")
+                await client.sendto(b"before", proxy_ip, int(proxy_port))
+                with anyio.fail_after(_MAX_WAIT_S):
                     self.assertEqual((await server.receive())[0], b"before")
                 link.cut()
-                await client.sendto(b"cut", there, int(number))
-                await anyio.sleep(_SOON_S)
+                await client.sendto(b"cut", proxy_ip, int(proxy_port))
+                await anyio.sleep(_SHORT_WAIT_S)
                 link.heal()
-                await client.sendto(b"after", there, int(number))
-                with anyio.fail_after(_LONG_S):
+                await client.sendto(b"after", proxy_ip, int(proxy_port))
+                with anyio.fail_after(_MAX_WAIT_S):
                     self.assertEqual((await server.receive())[0], b"after")
                 tasks.cancel_scope.cancel()
 
