--- a/hillthread/bench/gateway_soak/stage.py
+++ b/hillthread/bench/gateway_soak/stage.py
@@ -61,7 +61,7 @@
         link: wire_proxy.WireProxy,
     ):
         super().__init__(name, service, model, weights)
-        self.names_requests = True
+        self.includes_request_ids = True
         self.events = verdict.EVENTS
         self.link = link
         self.link.upstream = self.server.address
@@ -213,7 +213,7 @@
         for host in self.hosts:
             for link in host.links:
                 self.tasks.start_soon(link.serve)
-            self.tasks.start_soon(host.feed_link.serve_packets)
+            self.tasks.start_soon(host.feed_link.serve_datagrams)
             self.start_process(host)
         for host in self.hosts:
             await self.wait_started(host)
@@ -277,7 +277,7 @@
 
     def name_weights(self) -> None:
         """Names newer weights."""
-        self.operator.name_weights(_MODEL)
+        self.operator.announce_weights(_MODEL)
         self.evidence.weights_named.append(
             evidence_lib.NamedVersion(self.operator.weights, time.monotonic())
         )
@@ -304,8 +304,8 @@
             link = wire_proxy.WireProxy()
             self.tasks.start_soon(link.serve)
         target = LinkedTarget(name, service, model, version, link)
-        target.deadly = self.evidence.deadly
-        target.end = lambda: self.deadly_ran(target)
+        target.crash_bodies = self.evidence.deadly
+        target.crash = lambda: self.deadly_ran(target)
         self.targets[name] = target
         self.evidence.targets.append(target)
         self.tasks.start_soon(self._listen, target)
@@ -338,7 +338,7 @@
         """Has targets that have loaded tell so, as the store allows."""
         while True:
             await anyio.sleep(_HEARTBEAT_S)
-            if not self.store.faults.answers:
+            if not self.store.faults.is_answering:
                 continue
             for target in list(self.targets.values()):
                 if target.listed_weights != target.weights:
--- a/hillthread/coordination/attempt_checks.py
+++ b/hillthread/coordination/attempt_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the head of a target's answer, before anything is relayed."""
+"""Checks the head of a target's answer before any of it is relayed."""
 
 from __future__ import annotations
 
@@ -17,29 +17,30 @@
 
 __all__ = ["HeadChecker"]
 
-_REFUSALS = (409, 429, 503)
+_REFUSAL_STATUSES = (409, 429, 503)
 
 
 class Expectation(NamedTuple):
-    """What the answer of one attempt must say.
+    """What the head of an attempt's answer is checked against.
 
     Attributes:
-        target: Who is asked.
+        target: The target of the attempt.
         attempt: The attempt.
         epoch: The target's epoch when the attempt was sent, or None.
-        must_echo: Whether the target echoes attempt ids; engines do.
-        strict_incarnation: Whether another incarnation is an error.
+        must_echo: Whether the target must echo the attempt id; engines do.
+        requires_same_incarnation: Whether an answer of another incarnation is
+            an error.
     """
 
     target: objects.Target
     attempt: records.AttemptRecord
     epoch: warmth.CacheEpoch | None
     must_echo: bool
-    strict_incarnation: bool = False
+    requires_same_incarnation: bool = False
 
 
 class HeadChecker:
-    """Compares the head of an answer with what was asked."""
+    """Compares the head of an answer with the request of the attempt."""
 
     def __init__(
         self, fleet: fleet_lib.Fleet, metrics: metrics_lib.RouterMetrics
@@ -50,14 +51,15 @@
     def check(
         self, response: target_client.TargetResponse, expected: Expectation
     ) -> None:
-        """Learns from the head and accepts it.
+        """Records the target's state from the head and accepts the answer.
 
         Raises:
-            AttemptError: It is another attempt's answer, a refusal, or ran
-                on other weights than expected.
+            AttemptError: The answer belongs to another attempt, is a refusal
+                or a server error, or ran on other weights or another
+                incarnation than expected.
         """
         self._check_identity(response, expected)
-        epoch = self._learn_epoch(response, expected)
+        epoch = self._record_epoch(response, expected)
         self._check_status(response, expected)
         expected.attempt.state = records.AttemptState.ACCEPTED
         self._check_epoch(epoch, expected)
@@ -70,15 +72,15 @@
             return
         if echoed is None and not expected.must_echo:
             return
-        self._refuse("attempt_id", "answer to another attempt")
+        self._reject("attempt_id", "answer to another attempt")
 
-    def _learn_epoch(
+    def _record_epoch(
         self, response: target_client.TargetResponse, expected: Expectation
     ) -> warmth.CacheEpoch | None:
         name = expected.target.name
         if engine.INCARNATION not in response.headers:
             return None
-        epoch = engine.epoch_of(response.headers)
+        epoch = engine.parse_epoch(response.headers)
         expected.attempt.incarnation = epoch.incarnation
         expected.attempt.weights_version = epoch.weights_version
         self.fleet.observe_epoch(name, epoch)
@@ -90,22 +92,22 @@
         self, response: target_client.TargetResponse, expected: Expectation
     ) -> None:
         status = response.status_code
-        self._learn_backoff(response, expected.target.name)
-        if status in _REFUSALS and expected.target.truthful_refusals:
+        self._apply_backoff(response, expected.target.name)
+        if status in _REFUSAL_STATUSES and expected.target.truthful_refusals:
             raise target_client.AttemptError(
                 records.AttemptState.REFUSED,
                 f"refused with status {status}",
-                targets_fault=False,
+                is_target_fault=False,
             )
-        if status >= 500 or status in _REFUSALS:
+        if status >= 500 or status in _REFUSAL_STATUSES:
             raise target_client.AttemptError(
                 records.AttemptState.SENT, f"status {status}"
             )
 
-    def _learn_backoff(
+    def _apply_backoff(
         self, response: target_client.TargetResponse, target: str
     ) -> None:
-        """Applies the back-off that a target which sheds load asks for."""
+        """Starts the back-off that a target requests with `Retry-After`."""
         if response.status_code != http.HTTPStatus.SERVICE_UNAVAILABLE:
             return
         text = response.headers.get("retry-after", "")
@@ -119,13 +121,13 @@
         if epoch is None or expected.epoch is None:
             return
         if epoch.weights_version != expected.epoch.weights_version:
-            self._refuse("weights_version", "ran with other weights")
-        if not expected.strict_incarnation:
+            self._reject("weights_version", "ran with other weights")
+        if not expected.requires_same_incarnation:
             return
         if epoch.incarnation != expected.epoch.incarnation:
-            self._refuse("incarnation", "another incarnation answered")
+            self._reject("incarnation", "another incarnation answered")
 
-    def _refuse(self, check: str, reason: str) -> None:
+    def _reject(self, check: str, reason: str) -> None:
         self.metrics.mismatches.labels(check).inc()
         raise target_client.AttemptError(
             records.AttemptState.ACCEPTED, reason, resumable=False
--- a/hillthread/coordination/control_client.py
+++ b/hillthread/coordination/control_client.py
@@ -27,29 +27,32 @@
 
 __all__ = ["ControlClient"]
 
-# Demand and finished records are told this often.
-_DEMAND_EVERY_S = 1.0
-# One in so many records of plainly answered requests goes to the log.
-_SAMPLE_EVERY = 100
-# Bound on handing over records at a stop.
-_FLUSH_S = 2.0
-# Records that wait for the link; the oldest are dropped and counted.
-_MAX_FINISHED = 500
-# Pause before the control process is dialled again.
-_RECONNECT_S = 0.2
-# Bound on waiting for the verdict on a claim.
-_CLAIM_S = 4.0
+# Interval at which demand and finished records are sent.
+_DEMAND_INTERVAL_S = 1.0
+# One record is sent to the log for this many requests that were answered at the
+# first attempt.
+_SAMPLE_INTERVAL_RECORDS = 100
+# Bound on sending queued records when the process stops.
+_FLUSH_TIMEOUT_S = 2.0
+# Records queued for the link; beyond this, the oldest are dropped and counted.
+_MAX_QUEUED_RECORDS = 500
+# Pause before reconnecting to the control process.
+_RECONNECT_PAUSE_S = 0.2
+# Bound on waiting for the result of a claim.
+_CLAIM_TIMEOUT_S = 4.0
 
 _logger = logging.getLogger(__name__)
 
 
 class ControlClient(claims.ClaimStore):
-    """Takes configuration and news in, tells placements, asks for claims.
+    """Exchanges state with the control process and makes claims through it.
 
-    The router serves on with what it has while the link is down.
+    It receives the configuration and notices of targets and peers, and sends
+    placement notices, demand and finished records. The router continues to
+    serve with its last state while the link is down.
 
     Attributes:
-        keeper: The configuration as the control process passed it on.
+        keeper: The configuration that the control process forwarded.
         link: The open link, or None.
     """
 
@@ -68,9 +71,9 @@
         self.link: link_lib.Link | None = None
         self._claim_ids = itertools.count()
         self._claims: dict[int, _PendingClaim] = {}
-        self._sampled = 0
-        self._finished: collections.deque[bytes] = collections.deque()
-        router.finished = self.keep
+        self._plain_count = 0
+        self._queued_records: collections.deque[bytes] = collections.deque()
+        router.on_finished = self.enqueue_record
 
     async def run(self) -> None:
         """Keeps the link open until cancelled."""
@@ -81,7 +84,7 @@
                 )
             except errors.PeerError:
                 self.router.metrics.links.labels("failed").inc()
-                await anyio.sleep(_RECONNECT_S)
+                await anyio.sleep(_RECONNECT_PAUSE_S)
                 continue
             self.router.metrics.links.labels("opened").inc()
             await self._serve(link)
@@ -89,10 +92,10 @@
 
     async def claim(
         self, tenant: str, key: str, holder: str
-    ) -> claims.ClaimVerdict:
+    ) -> claims.ClaimResult:
         """See the base class."""
         if self.link is None:
-            return claims.ClaimVerdict.UNAVAILABLE
+            return claims.ClaimResult.UNAVAILABLE
         claim_id = next(self._claim_ids)
         digest = _claim_digest(tenant, key)
         pending = _PendingClaim()
@@ -101,13 +104,13 @@
             await self.link.send(
                 messages.ClaimRequest(claim_id, digest, holder)
             )
-            with anyio.move_on_after(_CLAIM_S):
+            with anyio.move_on_after(_CLAIM_TIMEOUT_S):
                 await pending.answered.wait()
         except errors.PeerError:
-            return claims.ClaimVerdict.UNAVAILABLE
+            return claims.ClaimResult.UNAVAILABLE
         finally:
             del self._claims[claim_id]
-        return pending.verdict
+        return pending.result
 
     async def release(self, tenant: str, key: str, holder: str) -> None:
         """See the base class."""
@@ -119,42 +122,45 @@
         except errors.PeerError:
             return
 
-    def keep(self, record: records.RequestRecord) -> None:
-        """Queues a finished record that is worth keeping on the log.
+    def enqueue_record(self, record: records.RequestRecord) -> None:
+        """Queues a finished record for the log, unless sampling drops it.
 
-        All that were not plainly answered are, and a sample of the rest.
+        Requests that were answered at the first attempt are sampled; the
+        records of all others are queued.
         """
-        plain = record.outcome == "answered" and len(record.attempts) == 1
-        self._sampled = (self._sampled + plain) % _SAMPLE_EVERY
-        if plain and self._sampled:
+        is_plain = record.outcome == "answered" and len(record.attempts) == 1
+        self._plain_count = (
+            self._plain_count + is_plain
+        ) % _SAMPLE_INTERVAL_RECORDS
+        if is_plain and self._plain_count:
             return
-        self._finished.append(documents.encode_document(record))
-        if len(self._finished) > _MAX_FINISHED:
-            self._finished.popleft()
+        self._queued_records.append(documents.encode_document(record))
+        if len(self._queued_records) > _MAX_QUEUED_RECORDS:
+            self._queued_records.popleft()
             self.router.metrics.records_lost.inc()
 
     async def flush(self) -> None:
-        """Sends what must not be lost with this process."""
+        """Sends the queued records before the process stops."""
         if self.link is None:
             return
-        with anyio.move_on_after(_FLUSH_S):
+        with anyio.move_on_after(_FLUSH_TIMEOUT_S):
             try:
-                await self._send_finished(self.link)
+                await self._send_queued_records(self.link)
             except errors.PeerError:
                 return
 
-    async def _send_finished(self, link: link_lib.Link) -> None:
-        while self._finished:
-            document = self._finished[0]
+    async def _send_queued_records(self, link: link_lib.Link) -> None:
+        while self._queued_records:
+            document = self._queued_records[0]
             await link.send(messages.FinishedRecord(document))
-            self._finished.popleft()
+            self._queued_records.popleft()
 
     async def _serve(self, link: link_lib.Link) -> None:
         self.link = link
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._share, link)
-                group.start_soon(self._tell_second, link)
+                group.start_soon(self._send_placements, link)
+                group.start_soon(self._send_demand_and_records, link)
                 async for message in link.receive():
                     await self._handle(link, message)
                 group.cancel_scope.cancel()
@@ -162,36 +168,42 @@
             _logger.warning("%s", error, extra={"code": error.code})
         finally:
             self.link = None
-            self.router.fleet.silent_routers += self.router.fleet.heard_routers
-            self.router.fleet.heard_routers = 0
-            self.router.demand.router_count = (
-                1 + self.router.fleet.silent_routers
+            self.router.fleet.unreachable_router_count += (
+                self.router.fleet.reachable_router_count
             )
+            self.router.fleet.reachable_router_count = 0
+            self.router.demand_shares.router_count = (
+                1 + self.router.fleet.unreachable_router_count
+            )
+
+    async def _send_placements(self, link: link_lib.Link) -> None:
+        """Sends placement notices.
 
-    async def _share(self, link: link_lib.Link) -> None:
-        """Tells a placement at once, further ones after a fixed time."""
+        A notice is sent at once if none was sent recently; others are
+        collected until the pause after the last message is over.
+        """
         fleet = self.router.fleet
         while True:
             ready = anyio.Event()
-            fleet.outbox.ready = ready.set
-            if not fleet.outbox.shares:
+            fleet.outbox.on_ready = ready.set
+            if not fleet.outbox.notices:
                 await ready.wait()
-            shares = fleet.outbox.take()
-            placements = [_as_placement(share) for share in shares]
+            notices = fleet.outbox.drain()
+            placements = [_as_placement(notice) for notice in notices]
             try:
                 await link.send(messages.Shares(placements))
             except errors.PeerError:
                 return
             await anyio.sleep(self.router.settings.share_every_s)
 
-    async def _tell_second(self, link: link_lib.Link) -> None:
-        """Tells demand and finished records, at fixed intervals."""
+    async def _send_demand_and_records(self, link: link_lib.Link) -> None:
+        """Sends demand and finished records at fixed intervals."""
         while True:
-            await anyio.sleep(_DEMAND_EVERY_S)
-            rates = self.router.demand.end_interval(clock.now())
+            await anyio.sleep(_DEMAND_INTERVAL_S)
+            rates = self.router.demand_shares.end_interval(clock.now())
             try:
                 await link.send(messages.Demand(self.identity.host, rates))
-                await self._send_finished(link)
+                await self._send_queued_records(link)
             except errors.PeerError:
                 return
 
@@ -201,57 +213,57 @@
         fleet = self.router.fleet
         match message:
             case messages.SnapshotMessage():
-                self._take_snapshot(message)
+                self._apply_snapshot(message)
             case messages.Records():
-                self.keeper.take(
+                self.keeper.apply_records(
                     message.first_offset, message.payloads, message.chain
                 )
-                self._adopt()
+                self._apply_configuration()
             case messages.TargetState(target, incarnation, True):
                 fleet.departures.mark_leaving(target, incarnation)
             case messages.TargetState(target, incarnation, False):
                 fleet.departures.mark_live(target, incarnation)
             case messages.Loads():
                 for each in message.loads:
-                    self._take_load(each)
+                    self._apply_load(each)
             case messages.Shares():
                 now = clock.now()
                 for each in message.placements:
-                    fleet.adopt_share(_as_share(each), now)
+                    fleet.apply_placement_notice(_as_notice(each), now)
             case messages.Members():
-                fleet.heard_routers = message.heard
-                fleet.silent_routers = message.silent
-                self.router.demand.router_count = 1 + message.heard
+                fleet.reachable_router_count = message.reachable
+                fleet.unreachable_router_count = message.unreachable
+                self.router.demand_shares.router_count = 1 + message.reachable
             case messages.Demand():
-                self.router.demand.update_peer(
+                self.router.demand_shares.update_peer(
                     message.host, message.rates, clock.now()
                 )
             case messages.RecordQuery():
-                await self._answer(link, message)
+                await self._answer_query(link, message)
             case messages.ClaimReply():
-                self._settle_claim(message)
+                self._complete_claim(message)
 
-    def _take_snapshot(self, message: messages.SnapshotMessage) -> None:
+    def _apply_snapshot(self, message: messages.SnapshotMessage) -> None:
         try:
-            self.keeper.take_snapshot(message.payload)
+            self.keeper.apply_snapshot(message.payload)
         except errors.ConfigurationError as error:
             _logger.warning("%s", error, extra={"code": error.code})
             return
-        self._adopt()
+        self._apply_configuration()
 
-    def _adopt(self) -> None:
+    def _apply_configuration(self) -> None:
         state = self.keeper.configuration
         table = routing_table.RoutingTable(state.position, state.decoded)
-        self.router.adopt(table)
+        self.router.apply_table(table)
 
-    def _take_load(self, message: messages.TargetLoad) -> None:
+    def _apply_load(self, message: messages.TargetLoad) -> None:
         fleet = self.router.fleet
         if message.incarnation:
             epoch = warmth.CacheEpoch(
                 message.incarnation, message.weights_version
             )
             fleet.observe_epoch(message.target, epoch)
-        fleet.report(
+        fleet.apply_load_report(
             message.target,
             load.LoadReport(
                 clock.now(),
@@ -262,7 +274,7 @@
             ),
         )
 
-    async def _answer(
+    async def _answer_query(
         self, link: link_lib.Link, query: messages.RecordQuery
     ) -> None:
         wanted = record_pages.RecordFilter(
@@ -276,19 +288,19 @@
         data = documents.encode_document(found)
         await link.send(messages.RecordReply(query.query_id, data))
 
-    def _settle_claim(self, reply: messages.ClaimReply) -> None:
+    def _complete_claim(self, reply: messages.ClaimReply) -> None:
         pending = self._claims.get(reply.claim_id)
         if pending is not None:
-            pending.verdict = claims.ClaimVerdict(reply.verdict)
+            pending.result = claims.ClaimResult(reply.verdict)
             pending.answered.set()
 
 
 class _PendingClaim:
-    """A claim that waits for its verdict."""
+    """A claim that waits for its result."""
 
     def __init__(self):
         self.answered = anyio.Event()
-        self.verdict = claims.ClaimVerdict.UNAVAILABLE
+        self.result = claims.ClaimResult.UNAVAILABLE
 
 
 def _claim_digest(tenant: str, key: str) -> bytes:
@@ -296,20 +308,24 @@
     return hashlib.blake2b(text, digest_size=16).digest()
 
 
-def _as_placement(share: share_outbox.Share) -> messages.SharedPlacement:
+def _as_placement(
+    notice: share_outbox.PlacementNotice,
+) -> messages.SharedPlacement:
     return messages.SharedPlacement(
-        share.target,
-        share.incarnation,
-        share.weights_version,
-        share.prefill_tokens,
-        [level.digest for level in share.levels],
-        [level.tokens for level in share.levels],
+        notice.target,
+        notice.incarnation,
+        notice.weights_version,
+        notice.prefill_tokens,
+        [level.digest for level in notice.levels],
+        [level.tokens for level in notice.levels],
     )
 
 
-def _as_share(placement: messages.SharedPlacement) -> share_outbox.Share:
+def _as_notice(
+    placement: messages.SharedPlacement,
+) -> share_outbox.PlacementNotice:
     pairs = zip(placement.digests, placement.tokens, strict=False)
-    return share_outbox.Share(
+    return share_outbox.PlacementNotice(
         placement.target,
         placement.incarnation,
         placement.weights_version,
--- a/hillthread/coordination/engine_roster.py
+++ b/hillthread/coordination/engine_roster.py
@@ -1,4 +1,4 @@
-"""The engines of one data centre, and those that one host watches."""
+"""The engines of a data centre, and the ones that one host watches."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 __all__ = ["EngineRoster"]
 
-# Below any position of a configuration, so that the first look finds it newer.
-_NEVER = -2
+# Below any configuration position, so that the first call builds the list.
+_NO_POSITION = -2
 
 
 class EngineRoster:
-    """The engines that the configuration names, shared out among live hosts.
+    """The configured engines, and their distribution among the live hosts.
 
     Attributes:
-        epochs: What each engine was last seen to run, by name.
-        seen_at: Monotonic seconds, when it was seen.
+        epochs: The last reported epoch of each engine, by name.
+        seen_at: Time of the last load report, in monotonic seconds, by name.
     """
 
     def __init__(
@@ -37,29 +37,29 @@
         self.members = members
         self.epochs: dict[str, warmth.CacheEpoch] = {}
         self.seen_at: dict[str, float] = {}
-        self._all: list[objects.Target] = []
-        self._all_position = _NEVER
+        self._engines: list[objects.Target] = []
+        self._engines_position = _NO_POSITION
         self._watched: list[objects.Target] = []
         self._watched_key: tuple[int, tuple[str, ...]] | None = None
 
-    def all(self) -> list[objects.Target]:
+    def list_all(self) -> list[objects.Target]:
         """Returns all engines of the data centre."""
-        if self._all_position != self.keeper.position:
-            self._all_position = self.keeper.position
-            self._all = [
+        if self._engines_position != self.keeper.position:
+            self._engines_position = self.keeper.position
+            self._engines = [
                 value
                 for value in self.keeper.configuration.decoded.values()
                 if isinstance(value, objects.Target)
                 and value.service == "engine"
                 and value.data_centre == self.data_centre
             ]
-        return self._all
+        return self._engines
 
-    def watched(self) -> list[objects.Target]:
+    def list_watched(self) -> list[objects.Target]:
         """Returns the engines that this host watches.
 
-        They change with the configuration and the live hosts only; ranking
-        all targets at each poll would cost more than reading them.
+        The list is cached until the configuration or the live hosts change:
+        ranking all targets at each poll would cost more than reading them.
         """
         alive = self.members.list_alive(self.data_centre)
         hosts = sorted([*alive, self.host])
@@ -68,13 +68,13 @@
             self._watched_key = key
             self._watched = [
                 target
-                for target in self.all()
+                for target in self.list_all()
                 if self._ranks_first(target, hosts)
             ]
         return self._watched
 
-    def note_loads(self, message: messages.Loads) -> None:
-        """Notes the epochs that came with loads."""
+    def apply_loads(self, message: messages.Loads) -> None:
+        """Records the epochs in load reports."""
         now = clock.now()
         for load in message.loads:
             self.seen_at[load.target] = now
--- a/hillthread/coordination/fleet.py
+++ b/hillthread/coordination/fleet.py
@@ -1,4 +1,4 @@
-"""What one router knows of all targets, and its decisions on them."""
+"""One router's state of all targets, and its choices among them."""
 
 from __future__ import annotations
 
@@ -17,26 +17,32 @@
 from hillthread.state.targets import departures
 from hillthread.state.targets import health
 
-__all__ = ["Fleet", "Placement", "Usage", "affinity_key", "make_query"]
+__all__ = [
+    "Fleet",
+    "PlacementConstraints",
+    "Usage",
+    "affinity_key",
+    "make_query",
+]
 
-# How far rank alone is trusted to tell where a prefix is warm: while a router
-# is not heard, and while all are heard.
-_PRIOR = 0.7
-_HEARD_PRIOR = 0.1
-# Retries in 10 s beyond what requests earn: a router with few requests still
-# gets over the loss of a target or two.
-_RETRY_EXTRA = 6.0
+# Probability that the first-ranked target has cached a prefix that is unknown
+# here: while any other router is unreachable, and while all are reachable.
+_UNREACHABLE_PRIOR = 0.7
+_REACHABLE_PRIOR = 0.1
+# Retries in 10 s beyond what requests accrue, so that a router with few
+# requests can still retry after the loss of one or two targets.
+_EXTRA_RETRIES = 6.0
 
 
-class Placement(NamedTuple):
-    """Which targets one attempt may go to.
+class PlacementConstraints(NamedTuple):
+    """Constraints on the target of one attempt.
 
     Attributes:
         targets: All targets of the route.
-        pool: Whose bounds apply.
-        model: The model asked for, or empty for plain services.
-        tried: Targets that earlier attempts of the request failed on.
-        weights_version: Weights an answer must continue with, or empty.
+        pool: The pool whose bounds apply.
+        model: The requested model, or empty for plain services.
+        tried: Targets on which earlier attempts of the request failed.
+        weights_version: Weights that must continue an answer, or empty.
     """
 
     targets: Sequence[objects.Target]
@@ -47,7 +53,7 @@
 
 
 class Usage(NamedTuple):
-    """Tokens of one answer, as the engine told them."""
+    """Token counts of one answer, as reported by the engine."""
 
     prompt_tokens: int
     cached_tokens: int
@@ -55,15 +61,25 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Work:
-    """An attempt that has not ended."""
+class _OpenAttempt:
+    """An attempt that has not ended.
+
+    Attributes:
+        target: The chosen target.
+        levels: The prefix levels of the prompt.
+        expected_prefill: Expected uncached tokens.
+        predicted: The longest prefix that was expected to be cached.
+        sent_at: Monotonic seconds.
+        is_only_request: Whether the target had no other request then.
+        first_token_at: Monotonic seconds, or None before the first token.
+    """
 
     target: str
     levels: tuple[prompt.PrefixLevel, ...]
     expected_prefill: float
     predicted: warmth.WarmPrefix
     sent_at: float
-    alone: bool
+    is_only_request: bool
     first_token_at: float | None = None
 
 
@@ -72,8 +88,8 @@
 ) -> bytes:
     """Returns the key by which all routers rank the targets of a prompt.
 
-    It is the deepest level that other prompts are likely to share: all but
-    the last message.
+    The key is the digest of the deepest level that other prompts are likely
+    to share: all but the last message.
     """
     if not levels:
         return fallback
@@ -98,14 +114,21 @@
     """Loads, beliefs, breakers and departures of all targets.
 
     Attributes:
-        data_centre: Only targets of it are eligible.
-        decide: The policy; baselines for comparison have their own.
-        departures: Targets that leave.
-        backoffs: Targets that shed load and want no request for a while.
-        outbox: What is still to be told to other routers.
-        heard_routers: Other routers of the data centre whose shares come in.
-        silent_routers: Other routers of the data centre that are not heard.
-            With any, a prefix unknown here is expected where they place it.
+        data_centre: Only targets of this data centre are eligible.
+        decide: The placement policy; benchmarks replace it by baselines.
+        warmth: Beliefs about which prefixes the targets have cached.
+        loads: Load of each target, by name.
+        breakers: Circuit breaker of each target, by name.
+        budgets: Retry budget of each pool, by name.
+        departures: Targets that are leaving.
+        backoffs: Targets that shed load and are excluded for some time.
+        open_attempts: Attempts that have not ended, by id.
+        reachable_router_count: Other routers of the data centre whose
+            placement notices arrive.
+        unreachable_router_count: Other routers of the data centre whose
+            notices do not arrive. If there are any, an unknown prefix is
+            expected to be cached on the target that they would choose.
+        outbox: Placement notices to be sent to other routers.
     """
 
     def __init__(
@@ -121,19 +144,22 @@
         self.budgets: dict[str, retry_budget.RetryBudget] = {}
         self.departures = departures.Departures()
         self.backoffs = backoffs.Backoffs()
-        self.work: dict[str, _Work] = {}
-        self.heard_routers = 0
-        self.silent_routers = 0
-        self.outbox = share_outbox.ShareOutbox()
+        self.open_attempts: dict[str, _OpenAttempt] = {}
+        self.reachable_router_count = 0
+        self.unreachable_router_count = 0
+        self.outbox = share_outbox.PlacementNoticeOutbox()
 
     def choose(
-        self, query: decision_lib.Query, placement: Placement, now: float
+        self,
+        query: decision_lib.Query,
+        constraints: PlacementConstraints,
+        now: float,
     ) -> decision_lib.Decision:
         """Returns the decision for one attempt."""
-        query = query._replace(prior_probability=self._prior())
+        query = query._replace(prior_probability=self._prior_probability())
         candidates = [
-            self._candidate(target, placement, now)
-            for target in placement.targets
+            self._candidate(target, constraints, now)
+            for target in constraints.targets
         ]
         return self.decide(query, candidates, now)
 
@@ -144,98 +170,100 @@
         decision: decision_lib.Decision,
         now: float,
     ) -> None:
-        """Notes that an attempt is about to be sent to its target."""
+        """Records that an attempt is about to be sent to its target."""
         name = decision.target
         if name is None:
             return
         self.breakers[name].admit(now)
         beliefs = self.warmth.targets[name]
         predicted = beliefs.lookup(query.levels, now)
-        alone = self.loads[name].count_requests() == 0
+        is_only_request = self.loads[name].count_requests() == 0
         self.loads[name].start(
             attempt_id,
             load.LocalPrefill(now, decision.expected_prefill),
         )
-        self._offer_share(name, query, decision, now)
+        self._notify_routers(name, query, decision, now)
         beliefs.add_pending(query.levels, now)
-        self.work[attempt_id] = _Work(
+        self.open_attempts[attempt_id] = _OpenAttempt(
             name,
             query.levels,
             decision.expected_prefill,
             predicted,
             now,
-            alone,
+            is_only_request,
         )
 
-    def adopt_share(self, share: share_outbox.Share, now: float) -> None:
-        """Takes in what another router told.
+    def apply_placement_notice(
+        self, notice: share_outbox.PlacementNotice, now: float
+    ) -> None:
+        """Applies a placement notice of another router.
 
-        A target unknown here, or told of under another epoch than the one
-        known here, is passed over.
+        A notice is ignored if its target is unknown here, or if its epoch
+        differs from the one known here.
         """
-        beliefs = self.warmth.targets.get(share.target)
+        beliefs = self.warmth.targets.get(notice.target)
         if beliefs is None:
             return
-        epoch = warmth.CacheEpoch(share.incarnation, share.weights_version)
+        epoch = warmth.CacheEpoch(notice.incarnation, notice.weights_version)
         if beliefs.epoch is None:
             beliefs.epoch = epoch
         if beliefs.epoch != epoch:
             return
-        self.loads[share.target].add_peer_prefill(share.prefill_tokens, now)
-        for level in share.levels:
+        self.loads[notice.target].add_peer_prefill(notice.prefill_tokens, now)
+        for level in notice.levels:
             beliefs.add_from_peer(level, now)
 
     def observe_epoch(self, name: str, epoch: warmth.CacheEpoch) -> bool:
-        """Notes the epoch a target named; returns whether it is another.
+        """Records the epoch that a target named; returns whether it is new.
 
-        All beliefs of the former epoch are dropped.
+        A new epoch clears all beliefs about the previous one.
         """
         changed = self.warmth.enter_epoch(name, epoch)
         if changed and name in self.loads:
             self.loads[name].report = None
         return changed
 
-    def first_token(self, attempt_id: str, now: float) -> None:
-        """Notes the first token of an attempt: its prompt is cached now."""
-        work = self.work.get(attempt_id)
-        if work is None or work.first_token_at is not None:
+    def record_first_token(self, attempt_id: str, now: float) -> None:
+        """Records the first token of an attempt: its prompt is cached now."""
+        attempt = self.open_attempts.get(attempt_id)
+        if attempt is None or attempt.first_token_at is not None:
             return
-        work.first_token_at = now
-        self.loads[work.target].note_first_token(attempt_id, now)
-        beliefs = self.warmth.targets[work.target]
-        beliefs.remove_pending(work.levels)
-        beliefs.advance_clock(work.expected_prefill)
-        beliefs.confirm(work.levels, now)
-
-    def learn_usage(self, attempt_id: str, usage: Usage, now: float) -> None:
-        """Learns from the usage told at the end of an answer."""
-        work = self.work.get(attempt_id)
-        if work is None:
+        attempt.first_token_at = now
+        self.loads[attempt.target].note_first_token(attempt_id, now)
+        beliefs = self.warmth.targets[attempt.target]
+        beliefs.remove_pending(attempt.levels)
+        beliefs.advance_clock(attempt.expected_prefill)
+        beliefs.confirm(attempt.levels, now)
+
+    def record_usage(self, attempt_id: str, usage: Usage, now: float) -> None:
+        """Updates estimates from the usage at the end of an answer."""
+        attempt = self.open_attempts.get(attempt_id)
+        if attempt is None:
             return
         computed = usage.prompt_tokens - usage.cached_tokens
-        self.loads[work.target].learn_mean_prefill(computed)
-        if work.alone and work.first_token_at is not None:
-            self.loads[work.target].learn_prefill_rate(
-                computed, work.first_token_at - work.sent_at
+        self.loads[attempt.target].learn_mean_prefill(computed)
+        if attempt.is_only_request and attempt.first_token_at is not None:
+            self.loads[attempt.target].learn_prefill_rate(
+                computed, attempt.first_token_at - attempt.sent_at
             )
-        beliefs = self.warmth.targets[work.target]
+        beliefs = self.warmth.targets[attempt.target]
         beliefs.advance_clock(
-            usage.completion_tokens + computed - work.expected_prefill
+            usage.completion_tokens + computed - attempt.expected_prefill
         )
-        beliefs.learn_horizon(work.predicted, usage.cached_tokens)
-        beliefs.confirm(work.levels, now)
+        beliefs.learn_horizon(attempt.predicted, usage.cached_tokens)
+        beliefs.confirm(attempt.levels, now)
 
     def finish(self, attempt_id: str) -> None:
-        """Notes that an attempt has ended in any way; idempotent."""
-        work = self.work.pop(attempt_id, None)
-        if work is None:
+        """Records that an attempt has ended in any way; idempotent."""
+        attempt = self.open_attempts.pop(attempt_id, None)
+        if attempt is None:
             return
-        self.loads[work.target].finish(attempt_id)
-        if work.first_token_at is None:
-            self.warmth.targets[work.target].remove_pending(work.levels)
+        self.loads[attempt.target].finish(attempt_id)
+        if attempt.first_token_at is None:
+            self.warmth.targets[attempt.target].remove_pending(attempt.levels)
 
-    def report(self, name: str, report: load.LoadReport) -> None:
-        """Takes in a load report of a target."""
+    def apply_load_report(self, name: str, report: load.LoadReport) -> None:
+        """Applies a load report of a target."""
         if name not in self.loads:
             return
         self.loads[name].update(report)
@@ -247,39 +275,40 @@
     def retry_budget(self, pool: objects.Pool) -> retry_budget.RetryBudget:
         """Returns the retry budget of a pool.
 
-        A changed ratio keeps what was spent: it must not give a new burst.
+        A changed ratio keeps the count of retries, so that it does not allow
+        a new burst.
         """
         budget = self.budgets.get(pool.name)
         if budget is None:
-            budget = retry_budget.RetryBudget(pool.retry_ratio, _RETRY_EXTRA)
+            budget = retry_budget.RetryBudget(pool.retry_ratio, _EXTRA_RETRIES)
             self.budgets[pool.name] = budget
         budget.ratio = pool.retry_ratio
         return budget
 
     def retain(self, targets: Sequence[objects.Target]) -> None:
-        """Forgets all that is not in the configuration any more."""
+        """Drops targets that are neither configured nor serve an attempt."""
         names = frozenset(target.name for target in targets)
-        busy = {work.target for work in self.work.values()}
-        for gone in self.loads.keys() - names - busy:
-            del self.loads[gone]
-            self.breakers.pop(gone, None)
-            self.departures.forget(gone)
+        busy = {attempt.target for attempt in self.open_attempts.values()}
+        for removed in self.loads.keys() - names - busy:
+            del self.loads[removed]
+            self.breakers.pop(removed, None)
+            self.departures.forget(removed)
         self.warmth.retain(names | busy)
 
     def track(self, target: objects.Target) -> None:
-        """Makes sure that there is state for a target."""
+        """Creates the state of a target if there is none."""
         if target.name in self.loads:
             return
         self.loads[target.name] = load.TargetLoad(target.prefill_tokens_per_s)
         self.warmth.target(target.name, target.cache_tokens)
 
-    def _prior(self) -> float:
-        """Returns how far rank alone is trusted to tell of warmth."""
-        if self.silent_routers:
-            return _PRIOR
-        return _HEARD_PRIOR if self.heard_routers else 0.0
+    def _prior_probability(self) -> float:
+        """Returns the probability that rank alone predicts a cached prefix."""
+        if self.unreachable_router_count:
+            return _UNREACHABLE_PRIOR
+        return _REACHABLE_PRIOR if self.reachable_router_count else 0.0
 
-    def _offer_share(
+    def _notify_routers(
         self,
         name: str,
         query: decision_lib.Query,
@@ -287,9 +316,13 @@
         now: float,
     ) -> None:
         epoch = self.warmth.targets[name].epoch
-        if self.heard_routers == 0 or epoch is None or not query.levels:
+        if (
+            self.reachable_router_count == 0
+            or epoch is None
+            or not query.levels
+        ):
             return
-        self.outbox.offer(
+        self.outbox.add_placement(
             name,
             epoch,
             int(decision.expected_prefill),
@@ -298,20 +331,23 @@
         )
 
     def _candidate(
-        self, target: objects.Target, placement: Placement, now: float
+        self,
+        target: objects.Target,
+        constraints: PlacementConstraints,
+        now: float,
     ) -> decision_lib.Candidate:
         self.track(target)
-        self._bound_breaker(target.name, placement.pool)
+        self._update_breaker(target.name, constraints.pool)
         return decision_lib.Candidate(
             target.name,
             target.max_running,
             self.loads[target.name],
             self.warmth.target(target.name, target.cache_tokens),
-            self._exclusion(target, placement, now),
+            self._exclusion(target, constraints, now),
         )
 
-    def _bound_breaker(self, name: str, pool: objects.Pool) -> None:
-        """Has a target's breaker follow the bounds now in force."""
+    def _update_breaker(self, name: str, pool: objects.Pool) -> None:
+        """Creates a target's breaker or updates its bounds from the pool."""
         breaker = self.breakers.get(name)
         if breaker is None:
             breaker = health.CircuitBreaker(pool.eject_after, pool.eject_s)
@@ -320,31 +356,38 @@
         breaker.eject_s = pool.eject_s
 
     def _exclusion(
-        self, target: objects.Target, placement: Placement, now: float
+        self,
+        target: objects.Target,
+        constraints: PlacementConstraints,
+        now: float,
     ) -> decision_lib.Exclusion | None:
         name = target.name
         if target.data_centre != self.data_centre:
             return decision_lib.Exclusion.OTHER_DATA_CENTRE
-        if placement.model and placement.model not in target.models:
+        if constraints.model and constraints.model not in target.models:
             return decision_lib.Exclusion.MODEL_NOT_SERVED
         if name in self.departures.leaving:
             return decision_lib.Exclusion.LEAVING
         if target.cordoned:
             return decision_lib.Exclusion.CORDONED
-        if name in placement.tried:
+        if name in constraints.tried:
             return decision_lib.Exclusion.ALREADY_TRIED
         if self.breakers[name].state(now) is health.BreakerState.OPEN:
             return decision_lib.Exclusion.EJECTED
         if self.backoffs.is_active(name, now):
             return decision_lib.Exclusion.BACKING_OFF
-        if self.loads[name].inflight >= placement.pool.max_inflight:
+        if self.loads[name].inflight >= constraints.pool.max_inflight:
             return decision_lib.Exclusion.SATURATED
-        if placement.weights_version and not self._has_weights(name, placement):
+        if constraints.weights_version and not self._has_weights(
+            name, constraints
+        ):
             return decision_lib.Exclusion.EPOCH_CHANGED
         return None
 
-    def _has_weights(self, name: str, placement: Placement) -> bool:
+    def _has_weights(
+        self, name: str, constraints: PlacementConstraints
+    ) -> bool:
         epoch = self.warmth.targets[name].epoch
         return epoch is None or (
-            epoch.weights_version == placement.weights_version
+            epoch.weights_version == constraints.weights_version
         )
--- a/hillthread/coordination/forwarder.py
+++ b/hillthread/coordination/forwarder.py
@@ -1,4 +1,4 @@
-"""Serves one request: attempts, retries and the final answer."""
+"""Serves requests: makes attempts, retries them and returns the answer."""
 
 from __future__ import annotations
 
@@ -27,21 +27,22 @@
 
 __all__ = ["Forwarder"]
 
-# Before a retry a random time up to this is waited, doubled with each attempt.
-_BACKOFF_S = 0.02
-# Targets that change weights at the same time refuse what they do not expect;
-# more than these few refusals in a row count as failures.
-_MOST_NEWS = 4
-# Bound on telling an engine that an answer is not wanted any more.
-_CANCEL_S = 1.0
+# Upper bound of the random pause before a retry; doubles with each failure.
+_FIRST_BACKOFF_S = 0.02
+# Refusals of one request that reveal a new epoch of the target and do not count
+# as failures: targets that change weights at the same time refuse requests for
+# the former weights. Further ones do count.
+_MAX_UNCOUNTED_REFUSALS = 4
+# Bound on the request that cancels an answer at an engine.
+_CANCEL_TIMEOUT_S = 1.0
 
 
 class Forwarder:
-    """Carries requests to targets and answers back.
+    """Forwards requests to targets and relays their answers.
 
     Attributes:
-        fleet: What is known of the targets.
-        gate: Hands out places on targets.
+        fleet: The state of the targets.
+        gate: Reserves slots on targets.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self.fleet = fleet
         self.metrics = metrics
         self.tasks = tasks
-        self.gate = gate_lib.Gate(fleet)
+        self.gate = gate_lib.AdmissionGate(fleet)
         self.checker = attempt_checks.HeadChecker(fleet, metrics)
         self.random = random.Random()
         self.client = target_client.TargetClient(
@@ -65,10 +66,11 @@
         )
 
     async def serve(self, exchange: exchange_lib.Exchange) -> None:
-        """Answers the request whole.
+        """Serves one request until its answer is complete.
 
         Raises:
-            RefusalError: It cannot be; its run state is true.
+            RefusalError: No attempt gave a complete answer; the error's run
+                state tells whether a target may have run the request.
         """
         job = _Job(self, exchange)
         budget = self.fleet.retry_budget(exchange.resolved.pool)
@@ -86,13 +88,13 @@
             raise _refusal(exchange, failure)
 
     def cancel(self, target: objects.Target, attempt_id: str) -> None:
-        """Has an engine stop computing an answer nobody waits for."""
+        """Cancels an answer at an engine; does nothing for other targets."""
         if target.service == "engine":
             self.tasks.start_soon(self._cancel, target.address, attempt_id)
 
     async def _cancel(self, address: str, attempt_id: str) -> None:
         path = engine.STREAMS_PATH + attempt_id
-        with anyio.move_on_after(_CANCEL_S):
+        with anyio.move_on_after(_CANCEL_TIMEOUT_S):
             try:
                 async with self.client.open(
                     address, "DELETE", path, {}, None
@@ -111,24 +113,26 @@
             return False
         if not exchange.record.repeatable and not _surely_not_run(exchange):
             return False
-        if exchange.started and not job.may_continue():
+        if exchange.has_sent_head and not job.may_continue():
             return False
         budget = self.fleet.retry_budget(exchange.resolved.pool)
         return budget.withdraw(clock.now())
 
     async def _back_off(self, number: int) -> None:
-        """Waits a random time that doubles with each attempt."""
-        await anyio.sleep(self.random.uniform(0, _BACKOFF_S * 2**number))
+        """Waits a random time whose bound doubles with each failure."""
+        await anyio.sleep(self.random.uniform(0, _FIRST_BACKOFF_S * 2**number))
 
 
 class _Job:
     """All attempts at one request.
 
     Attributes:
-        tried: Targets that must not be taken again.
-        failures: Attempts that failed, but for refusals that told something
-            new of their target: it may be taken again at once.
-        weights_version: What the answer has begun with.
+        tried: Targets that failed; they are excluded from further attempts.
+        failures: Failed attempts. A refusal that revealed a new epoch of its
+            target does not count, and the target may be chosen again at once.
+        weights_version: Weights of the latest attempt that reported them.
+        stream: The relay of a streamed answer, or None.
+        whole: The relay of an answer that is not streamed.
     """
 
     def __init__(self, forwarder: Forwarder, exchange: exchange_lib.Exchange):
@@ -137,9 +141,11 @@
         self.fleet = forwarder.fleet
         self.tried: set[str] = set()
         self.failures = 0
-        self._news = 0
+        self._uncounted_refusals = 0
         self.weights_version = ""
-        self.stream = self._stream_relay() if exchange.streamed else None
+        self.stream = (
+            self._make_stream_relay() if exchange.is_streamed else None
+        )
         self.whole = whole_relay.WholeRelay(
             exchange,
             forwarder.client,
@@ -158,14 +164,14 @@
         relayed = self.stream.progress.next_index
         if limit is not None and relayed >= limit:
             return False
-        return self.stream.progress.kept_text() is not None
+        return self.stream.progress.relayed_text() is not None
 
     async def attempt(self) -> target_client.AttemptError | None:
-        """Makes one attempt; returns why it failed, or None."""
+        """Makes one attempt; returns its error, or None on success."""
         attempt = await self.forwarder.gate.reserve(
-            self.exchange, self._placement()
+            self.exchange, self._constraints()
         )
-        target = self._target(attempt)
+        target = self._find_target(attempt)
         self._count_decision(attempt)
         beliefs = self.fleet.warmth.targets[target.name]
         expected = attempt_checks.Expectation(
@@ -177,31 +183,31 @@
             breaker.record_success()
             return None
         except target_client.AttemptError as error:
-            self._note_failure(expected, error)
+            self._record_failure(expected, error)
             return error
         finally:
-            self._end(expected)
+            self._finish_attempt(expected)
 
-    def _placement(self) -> fleet_lib.Placement:
+    def _constraints(self) -> fleet_lib.PlacementConstraints:
         resolved = self.exchange.resolved
-        return fleet_lib.Placement(
+        return fleet_lib.PlacementConstraints(
             resolved.targets,
             resolved.pool,
             self.exchange.record.model,
             frozenset(self.tried),
-            self.weights_version if self.exchange.started else "",
+            self.weights_version if self.exchange.has_sent_head else "",
         )
 
-    def _target(self, attempt: records.AttemptRecord) -> objects.Target:
+    def _find_target(self, attempt: records.AttemptRecord) -> objects.Target:
         name = attempt.decision.target
         return next(
             each for each in self.exchange.resolved.targets if each.name == name
         )
 
     async def _run(self, expected: attempt_checks.Expectation) -> None:
-        left = self.exchange.deadline - clock.now()
+        remaining_s = self.exchange.deadline - clock.now()
         attempt = expected.attempt
-        with anyio.move_on_after(max(0.0, left)) as scope:
+        with anyio.move_on_after(max(0.0, remaining_s)) as scope:
             if self.stream is not None:
                 await self.stream.run(
                     expected,
@@ -217,11 +223,13 @@
             if attempt.incarnation:
                 state = records.AttemptState.ACCEPTED
             raise target_client.AttemptError(
-                state, "deadline", targets_fault=False
+                state, "deadline", is_target_fault=False
             )
 
     def _headers(self, expected: attempt_checks.Expectation) -> dict[str, str]:
-        result = headers_lib.forwarded(self.exchange.request.headers)
+        result = headers_lib.filter_request_headers(
+            self.exchange.request.headers
+        )
         result[engine.REQUEST_ID] = expected.attempt.attempt_id
         if expected.epoch is not None and expected.must_echo:
             result[engine.EXPECT_WEIGHTS] = expected.epoch.weights_version
@@ -230,7 +238,7 @@
             result[engine.LAST_EVENT_ID] = str(last)
         return result
 
-    def _salt(self) -> str:
+    def _cache_salt(self) -> str:
         return engine.cache_salt(
             self.exchange.tenant.organisation, self.forwarder.settings.secret
         )
@@ -241,25 +249,29 @@
         priority = self.exchange.resolved.policy.priority
         progress = stream.progress
         if progress.next_index == 0:
-            return openai.upstream_body(completion, self._salt(), priority)
-        progress.continued_tokens = progress.next_index
+            return openai.encode_upstream_body(
+                completion, self._cache_salt(), priority
+            )
+        progress.earlier_tokens = progress.next_index
         self.forwarder.metrics.resumes.labels("continue").inc()
-        return openai.continuation_body(
+        return openai.encode_continuation_body(
             completion,
-            self._salt(),
+            self._cache_salt(),
             priority,
-            progress.kept_text() or "",
+            progress.relayed_text() or "",
             progress.next_index,
         )
 
     def _whole_body(self) -> bytes | None:
         completion = self.exchange.completion
         if completion is None:
-            return self.exchange.intent.body or None
+            return self.exchange.parsed.body or None
         priority = self.exchange.resolved.policy.priority
-        return openai.upstream_body(completion, self._salt(), priority)
+        return openai.encode_upstream_body(
+            completion, self._cache_salt(), priority
+        )
 
-    def _stream_relay(self) -> stream_relay.StreamRelay:
+    def _make_stream_relay(self) -> stream_relay.StreamRelay:
         return stream_relay.StreamRelay(
             self.exchange,
             self.forwarder.client,
@@ -273,7 +285,7 @@
         reason = attempt.decision.reason or decision_lib.Reason.LEAST_COST
         self.forwarder.metrics.decisions.labels(reason.value).inc()
 
-    def _note_failure(
+    def _record_failure(
         self,
         expected: attempt_checks.Expectation,
         error: target_client.AttemptError,
@@ -284,23 +296,28 @@
             attempt.state = error.state
         self.weights_version = attempt.weights_version or self.weights_version
         name = expected.target.name
-        if error.targets_fault:
+        if error.is_target_fault:
             self.fleet.breakers[name].record_failure(clock.now())
         epoch = self.fleet.warmth.targets[name].epoch
         if error.state is records.AttemptState.REFUSED and (
             epoch != expected.epoch
         ):
-            self._news += 1
-            self.failures += self._news > _MOST_NEWS
+            self._uncounted_refusals += 1
+            self.failures += self._uncounted_refusals > _MAX_UNCOUNTED_REFUSALS
             return
         self.failures += 1
         self.tried.add(name)
 
-    def _end(self, expected: attempt_checks.Expectation) -> None:
-        """Runs also when the caller has left and the task is cancelled."""
+    def _finish_attempt(self, expected: attempt_checks.Expectation) -> None:
+        """Records the end of an attempt and releases its slot.
+
+        Runs also when the caller has disconnected and the task is cancelled.
+        An attempt that may have been sent and was not answered is cancelled
+        at the engine.
+        """
         attempt = expected.attempt
         attempt.ended_s = self.exchange.elapsed()
-        self._learn(attempt)
+        self._record_usage(attempt)
         self.fleet.breakers[expected.target.name].cancel_probe()
         self.forwarder.gate.release(attempt.attempt_id)
         self.forwarder.metrics.attempts.labels(
@@ -313,7 +330,7 @@
         if attempt.state is not records.AttemptState.UNSENT:
             self.forwarder.cancel(expected.target, attempt.attempt_id)
 
-    def _learn(self, attempt: records.AttemptRecord) -> None:
+    def _record_usage(self, attempt: records.AttemptRecord) -> None:
         usage = self.whole.usage
         if self.stream is not None:
             usage = self.stream.progress.usage
@@ -327,8 +344,8 @@
             return
         attempt.cached_tokens = usage.cached_tokens
         metrics.cached_tokens.inc(usage.cached_tokens)
-        self.fleet.first_token(attempt.attempt_id, clock.now())
-        self.fleet.learn_usage(
+        self.fleet.record_first_token(attempt.attempt_id, clock.now())
+        self.fleet.record_usage(
             attempt.attempt_id,
             fleet_lib.Usage(
                 usage.prompt_tokens,
@@ -353,17 +370,17 @@
         return errors.RefusalError(
             "deadline",
             504,
-            "The request's deadline passed.",
-            "Raise the route's timeout_s, or ask for a shorter answer.",
+            "The deadline of the request has passed.",
+            "Raise the route's timeout_s, or request a shorter answer.",
             run,
         )
     remedy = "Send the request again."
     if run is not errors.RunState.NOT_RUN and not exchange.record.repeatable:
-        remedy = "It may have run: find out before sending it again."
+        remedy = "It may have run: check its outcome before sending it again."
     return errors.RefusalError(
         "target_failed",
         502,
-        f"No target completed the request; the last failure: {reason}.",
+        f"No target completed the request; last failure: {reason}.",
         remedy,
         run,
         1.0 if run is errors.RunState.NOT_RUN else None,
--- a/hillthread/coordination/gate.py
+++ b/hillthread/coordination/gate.py
@@ -1,7 +1,8 @@
-"""Admission: a request gets a target at once, waits its turn, or is refused.
+"""Admission: reserves a slot on a target, queues or refuses a request.
 
-A pool has one queue for all its models. Turns are kept among requests that need
-the same targets: one that finds none of its own free holds up no other.
+A pool has one queue for all its models. Order is kept among requests that need
+the same targets: a request whose targets are all saturated does not block
+requests that need others.
 """
 
 from __future__ import annotations
@@ -20,26 +21,27 @@
 from hillthread.state.routing import decision as decision_lib
 from hillthread.state.routing import records
 
-__all__ = ["Gate"]
+__all__ = ["AdmissionGate"]
 
-# `Retry-After`: a target that is ejected or starting may be back by then.
-_NO_TARGET_RETRY_S = 2.0
-# `Retry-After` when only places are missing, which come back sooner.
-_OVERLOAD_RETRY_S = 1.0
-# Those that wait look again this often, also if nothing woke them.
-_CHECK_S = 0.25
+# `Retry-After` when no target is eligible: one that is ejected or starting may
+# be eligible by then.
+_NO_TARGET_RETRY_AFTER_S = 2.0
+# `Retry-After` when all slots are in use; slots become free sooner.
+_OVERLOAD_RETRY_AFTER_S = 1.0
+# The first waiter checks for a free slot this often even if nothing woke it.
+_RECHECK_INTERVAL_S = 0.25
 _TRIED = decision_lib.Exclusion.ALREADY_TRIED
 _SATURATED = decision_lib.Exclusion.SATURATED
 
 
-class _Need(NamedTuple):
-    """What makes two waiting requests need the same targets.
+class _TargetNeed(NamedTuple):
+    """Requirements on a target; waiters with equal ones need the same targets.
 
     Attributes:
-        model: The model asked for.
-        weights_version: Weights an answer must continue with, or empty.
-        targets: Identity of the route's targets, which all its requests share
-            until a newer configuration has others.
+        model: The requested model.
+        weights_version: Weights that must continue an answer, or empty.
+        targets: Identity of the route's list of targets; all requests of the
+            route share the list until a newer configuration replaces it.
     """
 
     model: str
@@ -52,56 +54,57 @@
     """A request that waits for a target."""
 
     exchange: exchange_lib.Exchange
-    placement: fleet_lib.Placement
+    constraints: fleet_lib.PlacementConstraints
     event: anyio.Event
     attempt: records.AttemptRecord | None = None
     refusal: errors.RefusalError | None = None
 
 
-class Gate:
-    """Hands out places on targets, the most urgent class first.
+class AdmissionGate:
+    """Reserves slots on targets, the most urgent priority first.
 
     Attributes:
-        fleet: What is known of the targets.
-        queues: The waiting requests of each pool.
+        fleet: The state of the targets.
+        queues: The waiting requests of each pool, by name.
     """
 
     def __init__(self, fleet: fleet_lib.Fleet):
         self.fleet = fleet
         self.queues: dict[str, admission.AdmissionQueue] = {}
         self._waiters: dict[admission.Ticket, _Waiter] = {}
-        # By pool and model: whoever comes later waits behind these.
-        self._waiting: collections.Counter[tuple[str, str]] = (
+        # Waiters by pool and model; later requests queue behind them.
+        self._waiting_counts: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
 
     async def reserve(
         self,
         exchange: exchange_lib.Exchange,
-        placement: fleet_lib.Placement,
+        constraints: fleet_lib.PlacementConstraints,
     ) -> records.AttemptRecord:
-        """Returns a started attempt, its place taken.
+        """Returns a started attempt whose slot is reserved.
 
         Raises:
-            RefusalError: There is no target, or no place before the deadline.
+            RefusalError: No target is eligible, the queue is full, or no slot
+                becomes free before the deadline.
         """
-        queue = self._queue(placement)
-        if self._waiting[_line_of(placement)] == 0:
-            attempt = self._try(exchange, placement)
+        queue = self._queue(constraints)
+        if self._waiting_counts[_pool_and_model(constraints)] == 0:
+            attempt = self._try_reserve(exchange, constraints)
             if attempt is not None:
                 return attempt
-        return await self._wait(exchange, placement, queue)
+        return await self._wait_in_queue(exchange, constraints, queue)
 
     def release(self, attempt_id: str) -> None:
-        """Gives back the place of an ended attempt and serves waiters."""
+        """Releases the slot of an ended attempt and serves waiters."""
         self.fleet.finish(attempt_id)
         for queue in self.queues.values():
             self._serve_waiters(queue)
 
     def _queue(
-        self, placement: fleet_lib.Placement
+        self, constraints: fleet_lib.PlacementConstraints
     ) -> admission.AdmissionQueue:
-        pool = placement.pool
+        pool = constraints.pool
         queue = self.queues.get(pool.name)
         if queue is None:
             queue = self.queues[pool.name] = admission.AdmissionQueue(
@@ -110,32 +113,35 @@
         queue.capacity = pool.queue_size
         return queue
 
-    def _try(
+    def _try_reserve(
         self,
         exchange: exchange_lib.Exchange,
-        placement: fleet_lib.Placement,
+        constraints: fleet_lib.PlacementConstraints,
     ) -> records.AttemptRecord | None:
-        """Returns a started attempt, or None when all places are taken."""
+        """Returns a started attempt, or None if all slots are in use."""
         now = clock.now()
-        decision = self.fleet.choose(exchange.intent.query, placement, now)
-        if decision.target is None and _some_excluded(decision, _TRIED):
-            # All have failed once; one that failed may still be better.
-            again = placement._replace(tried=frozenset())
-            decision = self.fleet.choose(exchange.intent.query, again, now)
+        decision = self.fleet.choose(exchange.parsed.query, constraints, now)
+        if decision.target is None and _is_any_excluded(decision, _TRIED):
+            # All eligible targets have failed once; one of them is better
+            # than none.
+            without_tried = constraints._replace(tried=frozenset())
+            decision = self.fleet.choose(
+                exchange.parsed.query, without_tried, now
+            )
         if decision.target is None:
-            if _some_excluded(decision, _SATURATED):
+            if _is_any_excluded(decision, _SATURATED):
                 return None
             exchange.add_attempt(decision).failure = "no_target"
             raise _no_target(exchange)
         attempt = exchange.add_attempt(decision)
-        query = exchange.intent.query
+        query = exchange.parsed.query
         self.fleet.start(attempt.attempt_id, query, decision, now)
         return attempt
 
-    async def _wait(
+    async def _wait_in_queue(
         self,
         exchange: exchange_lib.Exchange,
-        placement: fleet_lib.Placement,
+        constraints: fleet_lib.PlacementConstraints,
         queue: admission.AdmissionQueue,
     ) -> records.AttemptRecord:
         started = clock.now()
@@ -146,22 +152,22 @@
             self._shed(offer.shed)
         if offer.ticket is None:
             raise _overloaded(exchange)
-        waiter = _Waiter(exchange, placement, anyio.Event())
+        waiter = _Waiter(exchange, constraints, anyio.Event())
         self._waiters[offer.ticket] = waiter
-        line = _line_of(placement)
-        self._waiting[line] += 1
+        pool_and_model = _pool_and_model(constraints)
+        self._waiting_counts[pool_and_model] += 1
         try:
-            await self._wait_turn(queue, offer.ticket, waiter)
+            await self._wait_until_served(queue, offer.ticket, waiter)
         finally:
             queue.withdraw(offer.ticket)
             self._waiters.pop(offer.ticket, None)
-            self._waiting -= {line: 1}
+            self._waiting_counts -= {pool_and_model: 1}
             exchange.record.queued_s += clock.now() - started
         if waiter.attempt is None:
             raise waiter.refusal or _overloaded(exchange)
         return waiter.attempt
 
-    async def _wait_turn(
+    async def _wait_until_served(
         self,
         queue: admission.AdmissionQueue,
         ticket: admission.Ticket,
@@ -169,40 +175,42 @@
     ) -> None:
         """Returns when served, shed or past the deadline.
 
-        A place may also come free without a release, when a target joins or
-        is probed again, so the first in line looks from time to time.
+        A slot may also become free without a release, when a target joins or
+        is probed again, so the first waiter checks at fixed intervals.
         """
         try:
             while not waiter.event.is_set():
-                left = ticket.deadline - clock.now()
-                if left <= 0:
+                remaining_s = ticket.deadline - clock.now()
+                if remaining_s <= 0:
                     return
-                with anyio.move_on_after(min(_CHECK_S, left)):
+                with anyio.move_on_after(min(_RECHECK_INTERVAL_S, remaining_s)):
                     await waiter.event.wait()
                 if queue.first() is ticket:
                     self._serve_waiters(queue)
         except anyio.get_cancelled_exc_class():
-            self._undo(waiter)
+            self._release_reserved(waiter)
             raise
 
-    def _undo(self, waiter: _Waiter) -> None:
+    def _release_reserved(self, waiter: _Waiter) -> None:
         if waiter.attempt is not None:
             self.release(waiter.attempt.attempt_id)
 
     def _serve_waiters(self, queue: admission.AdmissionQueue) -> None:
-        """Gives free places to those who can use them, in their order."""
-        in_vain: set[_Need] = set()
+        """Gives free slots to the waiters that can use them, in queue order."""
+        unservable: set[_TargetNeed] = set()
         for ticket in queue.in_order():
             waiter = self._waiters[ticket]
-            need = _need_of(waiter.placement)
-            if need in in_vain:
+            need = _need_of(waiter.constraints)
+            if need in unservable:
                 continue
             try:
-                waiter.attempt = self._try(waiter.exchange, waiter.placement)
+                waiter.attempt = self._try_reserve(
+                    waiter.exchange, waiter.constraints
+                )
             except errors.RefusalError as refusal:
                 waiter.refusal = refusal
             if waiter.attempt is None and waiter.refusal is None:
-                in_vain.add(need)
+                unservable.add(need)
                 continue
             queue.serve(ticket, clock.now())
             waiter.event.set()
@@ -213,20 +221,22 @@
         waiter.event.set()
 
 
-def _need_of(placement: fleet_lib.Placement) -> _Need:
-    return _Need(
-        placement.model, placement.weights_version, id(placement.targets)
+def _need_of(constraints: fleet_lib.PlacementConstraints) -> _TargetNeed:
+    return _TargetNeed(
+        constraints.model, constraints.weights_version, id(constraints.targets)
     )
 
 
-def _line_of(placement: fleet_lib.Placement) -> tuple[str, str]:
-    return placement.pool.name, placement.model
+def _pool_and_model(
+    constraints: fleet_lib.PlacementConstraints,
+) -> tuple[str, str]:
+    return constraints.pool.name, constraints.model
 
 
-def _some_excluded(
-    decision: decision_lib.Decision, why: decision_lib.Exclusion
+def _is_any_excluded(
+    decision: decision_lib.Decision, wanted: decision_lib.Exclusion
 ) -> bool:
-    return any(score.exclusion is why for score in decision.scores)
+    return any(score.exclusion is wanted for score in decision.scores)
 
 
 def _no_target(exchange: exchange_lib.Exchange) -> errors.RefusalError:
@@ -234,9 +244,9 @@
         "no_target",
         503,
         "No target can serve the request now.",
-        "Try again later; `hillthread-ctl explain` tells what excluded each.",
+        "Retry later; `hillthread-ctl explain` shows why each was excluded.",
         exchange.run_state(),
-        _NO_TARGET_RETRY_S,
+        _NO_TARGET_RETRY_AFTER_S,
     )
 
 
@@ -244,8 +254,8 @@
     return errors.RefusalError(
         "overloaded",
         503,
-        "All targets are busy beyond the request's deadline or class.",
-        "Try again after the time in Retry-After.",
+        "No target has a free slot for the request's deadline and priority.",
+        "Retry after the time in Retry-After.",
         exchange.run_state(),
-        _OVERLOAD_RETRY_S,
+        _OVERLOAD_RETRY_AFTER_S,
     )
--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -80,7 +80,7 @@
         rank = self.hosts.get_duty_rank(_ROLE)
         if self.lease.is_holder or rank < succession.WATCHING_HOST_COUNT:
             return False
-        return now - self.site.load_told_at < _MAX_NOTICE_GAP_S
+        return now - self.site.last_load_notice_at < _MAX_NOTICE_GAP_S
 
     async def acquire_or_renew(self) -> bool:
         """Acquires or renews the lease if due; returns whether to give orders.
@@ -89,9 +89,9 @@
         it until it stops, since another host would have to wait until the lease
         expires.
         """
-        if self.site.closing or clock.now() < self._resigned_until:
+        if self.site.is_closing or clock.now() < self._resigned_until:
             return False
-        if self.site.draining and not self.lease.is_holder:
+        if self.site.is_draining and not self.lease.is_holder:
             return False
         return await self.lease.acquire_or_renew()
 
--- a/hillthread/coordination/gateway/orders/weights_load.py
+++ b/hillthread/coordination/gateway/orders/weights_load.py
@@ -149,7 +149,7 @@
         version = self.site.weights.held_version(target.name, model) or 0
         if loading:
             version = self._newest_version(model)
-        self.work.tell_weights(
+        self.work.notify_weights(
             work_notice.WeightsNotice(
                 target_list.incarnation_key(target.name, born_ms),
                 model,
@@ -204,7 +204,7 @@
     ) -> rollout.LoadOutcome:
         """Returns the outcome of a load after the answer to its order."""
         match sent.answer:
-            case orders.OrderAnswer.TAKEN:
+            case orders.OrderAnswer.ACCEPTED:
                 return await self._await_load(
                     target, model, sent.orders_taken, sent.born_ms
                 )
@@ -280,7 +280,7 @@
         report = await orders.read_report(self.pool, target)
         if report is None:
             return None
-        if not self.site.take_report(target.name, model, report):
+        if not self.site.apply_report(target.name, model, report):
             return None
         return report
 
--- a/hillthread/coordination/intake.py
+++ b/hillthread/coordination/intake.py
@@ -1,4 +1,4 @@
-"""Takes in a caller's request: who asks, what for, and by which route."""
+"""Reads a caller's request: authenticates, parses and routes it."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from hillthread.state.routing import records
 from hillthread.transport import http_server
 
-__all__ = ["Intake", "Intent", "authenticate"]
+__all__ = ["Intake", "ParsedRequest", "authenticate"]
 
 REPEATABLE_HEADER = "x-hillthread-repeatable"
 _SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
-# Tokens for each character of a prompt, before any answer of the model told.
-_FIRST_RATIO = 0.25
-# Weight of a new answer in the learned ratio.
-_RATIO_STEP = 0.05
-# Models whose ratio is remembered; callers may name any.
+# Estimate until the first answer of a model reports its prompt tokens.
+_INITIAL_TOKENS_PER_CHARACTER = 0.25
+# Weight of a new answer in the smoothed ratio.
+_RATIO_SMOOTHING = 0.05
+# Bound on the models with a ratio of their own, as callers may name any model.
 _MAX_MODELS = 64
 
 
-class Intent(NamedTuple):
-    """What a request asks for.
+class ParsedRequest(NamedTuple):
+    """A request after parsing and routing.
 
     Attributes:
-        body: The request's whole body.
-        completion: The checked completion request; None for plain services.
+        body: The complete body of the request.
+        completion: The validated completion request; None for plain services.
         resolved: Route, policy, pool and targets.
-        query: What is asked of the decision.
+        query: The input to the choice of a target.
     """
 
     body: bytes
@@ -49,7 +49,7 @@
 def authenticate(
     table: routing_table.RoutingTable, request: http_server.Request
 ) -> objects.Tenant:
-    """Returns the tenant whose key a request carries.
+    """Returns the tenant of a request's bearer key.
 
     Raises:
         RefusalError: The key is missing or unknown.
@@ -67,16 +67,19 @@
 
 
 class Intake:
-    """Reads requests and learns how long the tokens of a model are.
+    """Reads requests and estimates the number of tokens in their prompts.
 
     Attributes:
-        limits: Bounds on callers.
-        ratios: Tokens for each character, by model.
+        limits: Bounds on the requests of callers.
+        tokens_per_character: Smoothed ratio of prompt tokens to characters,
+            by model.
     """
 
     def __init__(self, limits: settings_lib.CallerLimits):
         self.limits = limits
-        self.ratios: cachetools.LRUCache = cachetools.LRUCache(_MAX_MODELS)
+        self.tokens_per_character: cachetools.LRUCache = cachetools.LRUCache(
+            _MAX_MODELS
+        )
 
     async def read(
         self,
@@ -84,11 +87,11 @@
         tenant: objects.Tenant,
         request: http_server.Request,
         record: records.RequestRecord,
-    ) -> Intent:
-        """Returns what a request asks for and notes it in its record.
+    ) -> ParsedRequest:
+        """Reads, parses and routes a request, and fills in its record.
 
         Raises:
-            RefusalError: It is invalid, too large, too slow or not routed.
+            RefusalError: It is invalid, too large, too slow or has no route.
         """
         body = await self._read_body(request)
         completion = _parse(request, body)
@@ -98,8 +101,8 @@
             raise errors.RefusalError(
                 "no_route",
                 404,
-                f"No route leads from {request.path} for model {model!r}.",
-                "Ask for a model of /v1/models or a path that is routed.",
+                f"No route matches {request.path} with model {model!r}.",
+                "Use a model listed by /v1/models, or a path with a route.",
             )
         levels = self._levels(tenant, completion)
         query = fleet_lib.make_query(
@@ -115,23 +118,29 @@
         record.prompt_tokens = query.prompt_tokens
         record.level_tokens = tuple(level.tokens for level in levels)
         record.repeatable = _is_repeatable(request, resolved.route, completion)
-        return Intent(body, completion, resolved, query)
+        return ParsedRequest(body, completion, resolved, query)
 
-    def learn_usage(
-        self, intent: Intent, record: records.RequestRecord
+    def record_usage(
+        self, parsed: ParsedRequest, record: records.RequestRecord
     ) -> float:
-        """Returns tokens used, and learns how long tokens are."""
-        completion = intent.completion
+        """Returns the tokens used and updates the ratio of the model.
+
+        Returns the estimate if the answer reported no usage, and 0 for plain
+        services and requests without an attempt.
+        """
+        completion = parsed.completion
         if not record.attempts or completion is None:
             return 0.0
         last = record.attempts[-1]
         if not last.prompt_tokens:
             return float(record.prompt_tokens)
         characters = sum(len(part) for part in completion.parts)
-        measured = last.prompt_tokens / max(1, characters)
-        ratio = self.ratios.get(completion.model, _FIRST_RATIO)
-        ratio += _RATIO_STEP * (measured - ratio)
-        self.ratios[completion.model] = ratio
+        observed = last.prompt_tokens / max(1, characters)
+        ratio = self.tokens_per_character.get(
+            completion.model, _INITIAL_TOKENS_PER_CHARACTER
+        )
+        ratio += _RATIO_SMOOTHING * (observed - ratio)
+        self.tokens_per_character[completion.model] = ratio
         return float(last.prompt_tokens + last.completion_tokens)
 
     async def _read_body(self, request: http_server.Request) -> bytes:
@@ -151,7 +160,9 @@
     ) -> tuple[prompt.PrefixLevel, ...]:
         if completion is None:
             return ()
-        ratio = self.ratios.get(completion.model, _FIRST_RATIO)
+        ratio = self.tokens_per_character.get(
+            completion.model, _INITIAL_TOKENS_PER_CHARACTER
+        )
         return prompt.prefix_levels(
             tenant.organisation, completion.model, completion.parts, ratio
         )
@@ -166,7 +177,7 @@
         raise errors.RefusalError(
             "method_not_allowed",
             405,
-            f"{request.method} is not possible on {request.path}.",
+            f"{request.method} is not allowed on {request.path}.",
             "Use POST.",
         )
     return openai.parse_completion(body, request.path == openai.CHAT_PATH)
@@ -179,11 +190,11 @@
 ) -> bool:
     """Returns whether a request may run more than once.
 
-    Calls of plain services may not, but for the safe methods, unless their
-    route says so; completions may, unless route or header say otherwise.
+    Calls of plain services may not, except with safe methods, unless their
+    route allows it; completions may, unless route or header forbid it.
     """
-    marked = request.headers.get(REPEATABLE_HEADER, "").lower()
-    if marked == "false":
+    header = request.headers.get(REPEATABLE_HEADER, "").lower()
+    if header == "false":
         return False
     if completion is None and request.method in _SAFE_METHODS:
         return True
--- a/hillthread/coordination/router.py
+++ b/hillthread/coordination/router.py
@@ -1,4 +1,4 @@
-"""The callers' application: who asks, what for, and under which limits."""
+"""The router's ASGI application: authentication, limits and claims."""
 
 from __future__ import annotations
 
@@ -31,23 +31,25 @@
 __all__ = ["Router"]
 
 IDEMPOTENCY_HEADER = "idempotency-key"
-_BUSY_RETRY_S = 1.0
-_NO_LIMITS = objects.Limits()
+_RETRY_AFTER_S = 1.0
+_UNLIMITED = objects.Limits()
 
 _logger = logging.getLogger(__name__)
 
 
 class Router:
-    """Serves callers.
+    """Serves the requests of callers.
 
     Attributes:
-        table: The configuration in force, or None before the first.
-        fleet: What is known of the targets.
-        records: The decision records kept.
+        table: The routing table in use, or None before the first one.
+        fleet: The state of the targets.
+        records: The decision records kept in memory.
+        usage: Usage of each tenant's limits, by the tenant's name.
         inflight: Requests being served.
         draining: Whether the program is stopping.
-        finished: Called with each record that is complete.
-        demand: Which part of the tenants' limits this router may spend.
+        request_ended: Set, and replaced, whenever a request ends.
+        on_finished: Called with each complete record of a routed request.
+        demand_shares: This router's shares of the tenants' limits.
     """
 
     def __init__(
@@ -69,12 +71,14 @@
         self.intake = intake_lib.Intake(settings.limits)
         self.inflight = 0
         self.draining = False
-        self.ended = anyio.Event()
-        self.demand = shares.DemandShares()
-        self.finished: Callable[[records.RequestRecord], None] = _keep_nothing
+        self.request_ended = anyio.Event()
+        self.demand_shares = shares.DemandShares()
+        self.on_finished: Callable[[records.RequestRecord], None] = (
+            _discard_record
+        )
 
-    def adopt(self, table: routing_table.RoutingTable) -> None:
-        """Puts a configuration in force."""
+    def apply_table(self, table: routing_table.RoutingTable) -> None:
+        """Replaces the routing table, unless the new one is older."""
         if self.table is not None and table.position < self.table.position:
             return
         self.table = table
@@ -82,13 +86,13 @@
         for target in table.targets.values():
             if target.data_centre == self.settings.data_centre:
                 self.fleet.track(target)
-        for gone in self.usage.keys() - table.tenants.keys():
-            if self.usage[gone].running == 0:
-                del self.usage[gone]
+        for removed in self.usage.keys() - table.tenants.keys():
+            if self.usage[removed].running == 0:
+                del self.usage[removed]
         self.metrics.position.set(table.position)
 
     def not_ready_reason(self) -> str:
-        """Returns why new requests should go elsewhere, or nothing."""
+        """Returns why this router takes no new requests, or an empty string."""
         if self.draining:
             return "stopping"
         return "" if self.table is not None else "no configuration in force"
@@ -96,7 +100,7 @@
     async def wait_idle(self) -> None:
         """Returns when no request is being served."""
         while self.inflight:
-            await self.ended.wait()
+            await self.request_ended.wait()
 
     async def handle(
         self, request: http_server.Request, send: http_server.Send
@@ -113,8 +117,8 @@
             self.inflight -= 1
             self.metrics.inflight.set(self.inflight)
             self._close_record(record)
-            self.ended.set()
-            self.ended = anyio.Event()
+            self.request_ended.set()
+            self.request_ended = anyio.Event()
 
     async def _serve(
         self,
@@ -125,38 +129,43 @@
         arrived = clock.now()
         started: exchange_lib.Exchange | None = None
         try:
-            table = self._check_open()
+            table = self._check_ready()
             tenant = intake_lib.authenticate(table, request)
             record.tenant = tenant.name
             if request.path == openai.MODELS_PATH and request.method == "GET":
                 await self._list_models(table, send)
                 record.outcome = "answered"
                 return
-            intent = await self.intake.read(table, tenant, request, record)
+            parsed = await self.intake.read(table, tenant, request, record)
             self.records.add(record)
             started = exchange_lib.Exchange(
                 request,
                 send,
-                intent,
+                parsed,
                 tenant,
                 record,
                 arrived,
-                arrived + intent.resolved.route.timeout_s,
-                closing=self.draining,
+                arrived + parsed.resolved.route.timeout_s,
+                closes_connection=self.draining,
             )
             await self._serve_within_limits(started)
             record.outcome = _outcome(record)
         except errors.RefusalError as refusal:
-            await self._refuse(refusal, record, send, started)
+            await self._send_refusal(refusal, record, send, started)
         except Exception:
             _logger.exception("internal error", extra={"code": "internal"})
-            await self._refuse(_internal(started), record, send, started)
+            await self._send_refusal(
+                _internal_error(started), record, send, started
+            )
 
-    def _check_open(self) -> routing_table.RoutingTable:
+    def _check_ready(self) -> routing_table.RoutingTable:
         if self.table is None:
-            raise _busy("not_ready", "No configuration is in force yet.")
+            raise _unavailable("not_ready", "No configuration is loaded yet.")
         if self.inflight > self.settings.limits.max_concurrency:
-            raise _busy("router_busy", "The router serves too many requests.")
+            raise _unavailable(
+                "router_busy",
+                "The router serves its maximum of requests.",
+            )
         return self.table
 
     async def _list_models(
@@ -177,8 +186,8 @@
             raise errors.RefusalError(
                 "tenant_limit",
                 429,
-                "The tenant's limit is used up.",
-                "Wait as long as Retry-After says.",
+                "The tenant's limit is exhausted.",
+                "Retry after the time in Retry-After.",
                 retry_after_s=wait_s,
             )
         usage.begin()
@@ -187,17 +196,19 @@
             try:
                 await self._serve_while_connected(exchange)
             except errors.RefusalError as refusal:
-                await self._give_back(exchange, key, refusal)
+                await self._release_claim(exchange, key, refusal)
                 raise
         finally:
-            usage.end(self.intake.learn_usage(exchange.intent, exchange.record))
+            usage.end(
+                self.intake.record_usage(exchange.parsed, exchange.record)
+            )
 
     def _tenant_usage(self, tenant: objects.Tenant) -> limits.TenantUsage:
         now = clock.now()
         share = 1.0
-        if tenant.limits != _NO_LIMITS:
-            self.demand.count_request(tenant.name)
-            share = self.demand.share(tenant.name, now)
+        if tenant.limits != _UNLIMITED:
+            self.demand_shares.count_request(tenant.name)
+            share = self.demand_shares.share(tenant.name, now)
         usage = self.usage.get(tenant.name)
         if usage is None:
             usage = limits.TenantUsage(tenant.limits, share, now)
@@ -205,13 +216,13 @@
         usage.set_limits(tenant.limits, share, now)
         return usage
 
-    async def _give_back(
+    async def _release_claim(
         self,
         exchange: exchange_lib.Exchange,
         key: str | None,
         refusal: errors.RefusalError,
     ) -> None:
-        """Frees the key of a request that surely did not run."""
+        """Releases the key of a request that is proven not to have run."""
         if key is None or refusal.run is not errors.RunState.NOT_RUN:
             return
         await self.claims.release(
@@ -219,29 +230,29 @@
         )
 
     async def _claim(self, exchange: exchange_lib.Exchange) -> str | None:
-        """Returns the key that was claimed, or None when none is needed."""
+        """Returns the claimed key, or None if no claim is needed."""
         key = exchange.request.headers.get(IDEMPOTENCY_HEADER)
         if exchange.record.repeatable or key is None:
             return None
-        verdict = await self.claims.claim(
+        claim_result = await self.claims.claim(
             exchange.tenant.name, key, exchange.request_id
         )
-        match verdict:
-            case claims_lib.ClaimVerdict.TAKEN:
+        match claim_result:
+            case claims_lib.ClaimResult.TAKEN:
                 raise errors.RefusalError(
                     "already_claimed",
                     409,
-                    "A request with this idempotency key was taken before.",
-                    "Ask what became of that one; it may have run.",
+                    "Another request has claimed this idempotency key.",
+                    "Check the outcome of that request; it may have run.",
                     errors.RunState.UNKNOWN,
                 )
-            case claims_lib.ClaimVerdict.UNAVAILABLE:
+            case claims_lib.ClaimResult.UNAVAILABLE:
                 raise errors.RefusalError(
                     "claim_unavailable",
                     503,
-                    "It cannot be made sure that the request runs only once.",
+                    "The router cannot ensure that the request runs only once.",
                     "Send it again later with the same key.",
-                    retry_after_s=_BUSY_RETRY_S,
+                    retry_after_s=_RETRY_AFTER_S,
                 )
         return key
 
@@ -251,11 +262,11 @@
         refusal: errors.RefusalError | None = None
         async with anyio.create_task_group() as group:
 
-            async def watch() -> None:
-                await exchange.request.wait_disconnect()
+            async def cancel_on_disconnect() -> None:
+                await exchange.request.wait_for_disconnect()
                 group.cancel_scope.cancel()
 
-            group.start_soon(watch)
+            group.start_soon(cancel_on_disconnect)
             try:
                 await self.forwarder.serve(exchange)
             except errors.RefusalError as error:
@@ -264,7 +275,7 @@
         if refusal is not None:
             raise refusal
 
-    async def _refuse(
+    async def _send_refusal(
         self,
         refusal: errors.RefusalError,
         record: records.RequestRecord,
@@ -273,9 +284,9 @@
     ) -> None:
         record.code = refusal.code
         record.run = refusal.run
-        if exchange is not None and exchange.started:
+        if exchange is not None and exchange.has_sent_head:
             record.outcome = "broken"
-            await stream_relay.send_broken(exchange, refusal)
+            await stream_relay.send_stream_error(exchange, refusal)
             return
         record.outcome = "refused"
         closing = ((b"connection", b"close"),) if self.draining else ()
@@ -291,11 +302,11 @@
             record.run = records.infer_run_state(record.attempts)
         self.metrics.requests.labels(record.outcome, record.code).inc()
         if record.route:
-            self.finished(record)
+            self.on_finished(record)
 
 
-def _keep_nothing(record: records.RequestRecord) -> None:
-    """Stands for nobody who keeps records beyond the host."""
+def _discard_record(record: records.RequestRecord) -> None:
+    """Drops a record; the default of `Router.on_finished`."""
     del record
 
 
@@ -306,24 +317,24 @@
     return "left"
 
 
-def _internal(
+def _internal_error(
     exchange: exchange_lib.Exchange | None,
 ) -> errors.RefusalError:
     run = exchange.run_state() if exchange else errors.RunState.NOT_RUN
     return errors.RefusalError(
         "internal_error",
         500,
-        "The router failed; its log has the cause.",
+        "An internal error occurred; the router's log has the cause.",
         "Report it with the request id.",
         run,
     )
 
 
-def _busy(code: str, message: str) -> errors.RefusalError:
+def _unavailable(code: str, message: str) -> errors.RefusalError:
     return errors.RefusalError(
         code,
         503,
         message,
-        "Try again after the time in Retry-After.",
-        retry_after_s=_BUSY_RETRY_S,
+        "Retry after the time in Retry-After.",
+        retry_after_s=_RETRY_AFTER_S,
     )
--- a/hillthread/coordination/share_outbox.py
+++ b/hillthread/coordination/share_outbox.py
@@ -1,4 +1,4 @@
-"""What a router is still to tell the others of requests it has placed."""
+"""Placement notices that a router has yet to send to the other routers."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from hillthread.state.routing import prompt
 from hillthread.state.routing import warmth
 
-__all__ = ["Share", "ShareOutbox"]
+__all__ = ["PlacementNotice", "PlacementNoticeOutbox"]
 
-# A level that was told of a target is not told again for so long, seconds.
-_TELL_AGAIN_S = 2.0
-# Shares kept for a reader that is slow; the oldest give way.
-_MAX_SHARES = 1024
-# Levels whose last telling is remembered.
-_MAX_TOLD = 8192
+# Least time between two notices of the same prefix level on the same target.
+_RESEND_INTERVAL_S = 2.0
+# Notices kept for a slow reader; the oldest are dropped.
+_MAX_NOTICES = 1024
+# Levels whose time of the last notice is kept.
+_MAX_SENT_LEVELS = 8192
 
 
-class Share(NamedTuple):
-    """What one router tells others of a request it has placed.
+class PlacementNotice(NamedTuple):
+    """A notice to other routers of a request that one router has placed.
 
     Attributes:
-        target: Where it was sent.
-        incarnation: The target's incarnation it holds for.
-        weights_version: The target's weights version it holds for.
+        target: The target of the request.
+        incarnation: The target's incarnation; the notice holds for no other.
+        weights_version: The target's weights; the notice holds for no others.
         prefill_tokens: Expected uncached tokens.
-        levels: Its shared levels that were not told a moment ago.
+        levels: The prompt's shared levels that were not in a recent notice.
     """
 
     target: str
@@ -41,25 +41,27 @@
 
 
 def _do_nothing() -> None:
-    """Stands for nobody who wants to know."""
+    """Does nothing; the default of `PlacementNoticeOutbox.on_ready`."""
 
 
-class ShareOutbox:
-    """Shares in the order in which they came up.
+class PlacementNoticeOutbox:
+    """A queue of placement notices.
 
     Attributes:
-        shares: Not yet taken, oldest first.
-        ready: Called when something comes in.
+        notices: Notices not yet sent, the oldest first.
+        on_ready: Called after each new notice.
     """
 
     def __init__(self):
-        self.shares: collections.deque[Share] = collections.deque(
-            maxlen=_MAX_SHARES
+        self.notices: collections.deque[PlacementNotice] = collections.deque(
+            maxlen=_MAX_NOTICES
+        )
+        self.on_ready: Callable[[], None] = _do_nothing
+        self._sent_at: cachetools.LRUCache = cachetools.LRUCache(
+            _MAX_SENT_LEVELS
         )
-        self.ready: Callable[[], None] = _do_nothing
-        self._told_at: cachetools.LRUCache = cachetools.LRUCache(_MAX_TOLD)
 
-    def offer(
+    def add_placement(
         self,
         target: str,
         epoch: warmth.CacheEpoch,
@@ -67,31 +69,38 @@
         levels: Sequence[prompt.PrefixLevel],
         now: float,
     ) -> None:
-        """Puts in a placement, without the levels told a moment ago.
+        """Queues a notice of a placement, without levels in recent notices.
 
         Args:
-            target: Where the request was sent.
-            epoch: Of the target.
+            target: The target of the request.
+            epoch: The epoch of the target.
             prefill_tokens: Expected uncached tokens.
-            levels: Those that other prompts may share.
-            now: Steady time, seconds.
+            levels: The levels that other prompts may share.
+            now: Monotonic seconds.
         """
-        fresh = tuple(
-            level for level in levels if self._note(target, level, now)
+        due_levels = tuple(
+            level for level in levels if self._mark_if_due(target, level, now)
         )
-        self.shares.append(Share(target, *epoch, prefill_tokens, fresh))
-        self.ready()
-
-    def take(self) -> list[Share]:
-        """Returns what is to be told to other routers, once."""
-        shares = list(self.shares)
-        self.shares.clear()
-        return shares
-
-    def _note(self, target: str, level: prompt.PrefixLevel, now: float) -> bool:
-        """Returns whether a level is to be told, and notes that it is."""
+        self.notices.append(
+            PlacementNotice(target, *epoch, prefill_tokens, due_levels)
+        )
+        self.on_ready()
+
+    def drain(self) -> list[PlacementNotice]:
+        """Removes and returns all queued notices."""
+        notices = list(self.notices)
+        self.notices.clear()
+        return notices
+
+    def _mark_if_due(
+        self, target: str, level: prompt.PrefixLevel, now: float
+    ) -> bool:
+        """Returns whether a level is due for a notice, and if so marks it."""
         key = (target, level.digest)
-        if now - self._told_at.get(key, -_TELL_AGAIN_S) < _TELL_AGAIN_S:
+        if (
+            now - self._sent_at.get(key, -_RESEND_INTERVAL_S)
+            < _RESEND_INTERVAL_S
+        ):
             return False
-        self._told_at[key] = now
+        self._sent_at[key] = now
         return True
--- a/hillthread/coordination/stream_progress.py
+++ b/hillthread/coordination/stream_progress.py
@@ -1,4 +1,4 @@
-"""How far a streamed answer got: order, identity and completeness."""
+"""Tracks a streamed answer: order of events, attempt ids and completeness."""
 
 from __future__ import annotations
 
@@ -12,15 +12,16 @@
 
 __all__ = ["StreamFault", "StreamProgress"]
 
-_MAX_KEPT_BYTES = 2_097_152
-_USAGE = b'"usage"'
+# Bound on the relayed events kept to continue the answer on another target.
+_MAX_RETAINED_BYTES = 2_097_152
+_USAGE_FIELD = b'"usage"'
 _EMPTY_CHOICES = (b'"choices":[]', b'"choices": []')
 
 
 class StreamFault(enum.StrEnum):
-    """What a check of a streamed answer found wrong."""
+    """A fault that a check of a streamed answer found."""
 
-    CROSSED = "crossed_answer"
+    WRONG_ATTEMPT = "crossed_answer"
     GAP = "gap_in_stream"
     ERROR_EVENT = "error_event"
     TRUNCATED = "no_terminal_marker"
@@ -47,33 +48,38 @@
     """Checks the events of one answer, over all attempts at it.
 
     Attributes:
-        first_id: Attempt id of the first attempt, which the caller sees.
+        wants_usage: Whether the caller requested the usage event.
+        first_attempt_id: Id of the first attempt; the caller sees it in all
+            events.
+        attempt_id: Id of the current attempt.
         next_index: Index of the next event to relay.
-        done: Whether the terminal marker came.
-        usage: The usage told, or None.
-        overlap: Events dropped because they came twice.
-        fault: What was found wrong in the current attempt, or None.
+        done: Whether the terminal marker was received.
+        usage: The reported usage, or None.
+        duplicate_count: Events dropped because they were already relayed.
+        fault: The fault found in the current attempt, or None.
+        earlier_tokens: Tokens relayed by earlier attempts, which the current
+            one received as part of its prompt; 0 if it does not continue one.
     """
 
     def __init__(self, wants_usage: bool):
         self.wants_usage = wants_usage
-        self.first_id = b""
+        self.first_attempt_id = b""
         self.attempt_id = b""
         self.next_index = 0
         self.done = False
         self.usage: engine.AnswerUsage | None = None
-        self.overlap = 0
+        self.duplicate_count = 0
         self.fault: StreamFault | None = None
-        self.continued_tokens = 0
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self.earlier_tokens = 0
+        self._retained: list[bytes] = []
+        self._retained_bytes = 0
 
     def begin_attempt(self, attempt_id: str) -> None:
         """Expects the events of an attempt from `next_index` on."""
         self.attempt_id = attempt_id.encode()
         self.fault = None
-        if not self.first_id:
-            self.first_id = self.attempt_id
+        if not self.first_attempt_id:
+            self.first_attempt_id = self.attempt_id
 
     def accept(self, event: event_stream.Event) -> bytes:
         """Returns the bytes to relay for an event; empty when none.
@@ -91,57 +97,57 @@
             self.fault = StreamFault.ERROR_EVENT
             return b""
         if self.attempt_id not in event.data:
-            self.fault = StreamFault.CROSSED
+            self.fault = StreamFault.WRONG_ATTEMPT
             return b""
         if event.index is not None and event.index != self.next_index:
-            return self._out_of_order(event.index)
+            return self._handle_out_of_order(event.index)
         self.next_index += 1
-        return self._relayed(event)
+        return self._relay(event)
 
-    def kept_text(self) -> str | None:
-        """Returns the text relayed so far, or None when too long to keep."""
-        if self._kept_bytes > _MAX_KEPT_BYTES:
+    def relayed_text(self) -> str | None:
+        """Returns the text relayed so far, or None if it was too long."""
+        if self._retained_bytes > _MAX_RETAINED_BYTES:
             return None
         texts = []
-        for data in self._kept:
+        for data in self._retained:
             for choice in _chunk_decoder.decode(data).choices:
                 texts.append(choice.text or "")
                 if choice.delta is not None:
                     texts.append(choice.delta.content or "")
         return "".join(texts)
 
-    def _out_of_order(self, index: int) -> bytes:
+    def _handle_out_of_order(self, index: int) -> bytes:
         if index < self.next_index:
-            self.overlap += 1
+            self.duplicate_count += 1
         else:
             self.fault = StreamFault.GAP
         return b""
 
-    def _relayed(self, event: event_stream.Event) -> bytes:
-        if _USAGE in event.data and _has_no_choices(event.data):
-            return self._usage_chunk(event)
-        self._kept_bytes += len(event.data)
-        if self._kept_bytes <= _MAX_KEPT_BYTES:
-            self._kept.append(event.data)
-        return self._as_first_attempt(event.raw)
+    def _relay(self, event: event_stream.Event) -> bytes:
+        if _USAGE_FIELD in event.data and _has_no_choices(event.data):
+            return self._relay_usage(event)
+        self._retained_bytes += len(event.data)
+        if self._retained_bytes <= _MAX_RETAINED_BYTES:
+            self._retained.append(event.data)
+        return self._with_first_attempt_id(event.raw)
 
-    def _usage_chunk(self, event: event_stream.Event) -> bytes:
+    def _relay_usage(self, event: event_stream.Event) -> bytes:
         self.usage = engine.decode_usage(event.data)
         if not self.wants_usage:
             return b""
-        if self.continued_tokens == 0 or self.usage is None:
-            return self._as_first_attempt(event.raw)
+        if self.earlier_tokens == 0 or self.usage is None:
+            return self._with_first_attempt_id(event.raw)
         chunk: dict[str, Any] = msgspec.json.decode(event.data)
-        chunk["usage"]["prompt_tokens"] -= self.continued_tokens
-        chunk["usage"]["completion_tokens"] += self.continued_tokens
+        chunk["usage"]["prompt_tokens"] -= self.earlier_tokens
+        chunk["usage"]["completion_tokens"] += self.earlier_tokens
         raw = event_stream.encode_event(event.index, msgspec.json.encode(chunk))
-        return self._as_first_attempt(raw)
+        return self._with_first_attempt_id(raw)
 
-    def _as_first_attempt(self, raw: bytes) -> bytes:
-        if self.attempt_id == self.first_id:
+    def _with_first_attempt_id(self, raw: bytes) -> bytes:
+        if self.attempt_id == self.first_attempt_id:
             return raw
-        return raw.replace(self.attempt_id, self.first_id)
+        return raw.replace(self.attempt_id, self.first_attempt_id)
 
 
 def _has_no_choices(data: bytes) -> bool:
-    return any(mark in data for mark in _EMPTY_CHOICES)
+    return any(pattern in data for pattern in _EMPTY_CHOICES)
--- a/hillthread/coordination/stream_relay.py
+++ b/hillthread/coordination/stream_relay.py
@@ -1,7 +1,8 @@
-"""Relays a streamed answer: whole and in order, or with an explicit error.
+"""Relays a streamed answer completely and in order, or with an explicit error.
 
-When the connection breaks, the stream is first resumed on the incarnation
-that computes it. Continuing it on another target is the forwarder's choice.
+When the connection breaks, the relay first resumes the stream on the same
+incarnation of the target. The forwarder decides whether to continue it on
+another target.
 """
 
 from __future__ import annotations
@@ -30,19 +31,19 @@
     (b"content-type", b"text/event-stream; charset=utf-8"),
     (b"cache-control", b"no-store"),
 ]
-# How often a broken stream is asked for again on the same incarnation.
-_RESUMES = 2
-# Pause before the first of them; each further one waits as much longer.
+# Attempts to resume a broken stream on the same incarnation.
+_MAX_RESUMES = 2
+# Pause before the first resume; each further pause is longer by this time.
 _RESUME_PAUSE_S = 0.05
-# Bound on reading to the end of an answer, so that its connection can be kept.
-_DRAIN_S = 0.5
+# Bound on reading a response to its end, so that its connection can be reused.
+_DRAIN_TIMEOUT_S = 0.5
 
 
 class StreamRelay:
     """Relays one answer, over all attempts at it.
 
     Attributes:
-        progress: How far the answer got.
+        progress: The checks and the position of the answer.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         headers: dict[str, str],
         body: bytes,
     ) -> None:
-        """Runs one attempt until the answer is whole.
+        """Runs one attempt until the answer is complete.
 
         Raises:
             AttemptError: The target cannot complete it.
@@ -95,7 +96,7 @@
     ) -> None:
         self.checker.check(response, expected)
         if response.status_code != 200:
-            await self._relay_refusal(response, expected)
+            await self._relay_error_answer(response, expected)
             return
         splitter = event_stream.EventSplitter(self.max_event_bytes)
         chunks = self.client.read(response)
@@ -104,7 +105,7 @@
             if self.progress.done:
                 break
         if not self.progress.done:
-            raise self._fault(
+            raise self._fault_error(
                 stream_progress.StreamFault.TRUNCATED
                 if self.progress.next_index
                 else stream_progress.StreamFault.EMPTY
@@ -128,21 +129,21 @@
         if data:
             await self._send(data, expected)
         if self.progress.fault is not None:
-            raise self._fault(self.progress.fault)
+            raise self._fault_error(self.progress.fault)
 
     async def _send(
         self, data: bytes, expected: attempt_checks.Expectation
     ) -> None:
         if expected.attempt.first_token_s is None:
-            self._note_first_token(expected.attempt)
-        if not self.exchange.started:
+            self._record_first_token(expected.attempt)
+        if not self.exchange.has_sent_head:
             await self.exchange.begin_answer(200, _STREAM_HEADERS)
-        await self.exchange.send_part(data)
+        await self.exchange.send_chunk(data)
 
-    def _note_first_token(self, attempt: records.AttemptRecord) -> None:
+    def _record_first_token(self, attempt: records.AttemptRecord) -> None:
         attempt.first_token_s = self.exchange.elapsed()
-        self.fleet.first_token(attempt.attempt_id, clock.now())
-        if not self.exchange.started:
+        self.fleet.record_first_token(attempt.attempt_id, clock.now())
+        if not self.exchange.has_sent_head:
             self.metrics.observe_first_token(
                 self.exchange.tenant.name, attempt.first_token_s
             )
@@ -155,28 +156,28 @@
         """Ends the caller's answer, then reads on to free the connection."""
         expected.attempt.state = records.AttemptState.ANSWERED
         await self.exchange.end_answer()
-        with anyio.move_on_after(_DRAIN_S):
+        with anyio.move_on_after(_DRAIN_TIMEOUT_S):
             try:
                 async for _ in chunks:
                     pass
             except target_client.AttemptError:
                 return
 
-    async def _relay_refusal(
+    async def _relay_error_answer(
         self,
         response: target_client.TargetResponse,
         expected: attempt_checks.Expectation,
     ) -> None:
-        """Passes on a target's own 4xx answer, which is the answer."""
+        """Relays a target's 4xx answer, which is the final answer."""
         data = await self.client.read_all(response, self.max_event_bytes)
-        if self.exchange.started:
+        if self.exchange.has_sent_head:
             raise target_client.AttemptError(
                 records.AttemptState.ACCEPTED,
                 f"status {response.status_code} to a continued stream",
             )
-        kind = response.headers.get("content-type", "application/json")
+        content_type = response.headers.get("content-type", "application/json")
         await self.exchange.begin_answer(
-            response.status_code, [(b"content-type", kind.encode())]
+            response.status_code, [(b"content-type", content_type.encode())]
         )
         await self.exchange.end_answer(data)
         expected.attempt.state = records.AttemptState.ANSWERED
@@ -187,7 +188,11 @@
         error: target_client.AttemptError,
         expected: attempt_checks.Expectation,
     ) -> bool:
-        """Resuming runs nothing again, so it needs no permission."""
+        """Returns whether the stream can be resumed on its incarnation.
+
+        Resuming does not run the request again, so it is allowed for requests
+        that are not repeatable.
+        """
         fault = self.progress.fault
         if fault is stream_progress.StreamFault.ERROR_EVENT:
             return False
@@ -210,16 +215,16 @@
         weights = expected.attempt.weights_version
         if not incarnation and expected.epoch is not None:
             incarnation, weights = expected.epoch
-        again = expected._replace(
+        resumed = expected._replace(
             epoch=warmth.CacheEpoch(incarnation, weights),
-            strict_incarnation=True,
+            requires_same_incarnation=True,
         )
-        for number in range(_RESUMES):
+        for number in range(_MAX_RESUMES):
             await anyio.sleep(_RESUME_PAUSE_S * (number + 1))
             self.progress.begin_attempt(expected.attempt.attempt_id)
             before = self.progress.next_index
             try:
-                await self._resume_once(again)
+                await self._resume_once(resumed)
             except target_client.AttemptError:
                 if self.progress.next_index == before:
                     continue
@@ -249,7 +254,7 @@
                 )
             await self._relay(response, expected)
 
-    def _fault(
+    def _fault_error(
         self, fault: stream_progress.StreamFault
     ) -> target_client.AttemptError:
         self.metrics.mismatches.labels(fault.value).inc()
@@ -258,13 +263,13 @@
         )
 
 
-async def send_broken(
+async def send_stream_error(
     exchange: exchange_lib.Exchange, refusal: errors.RefusalError
 ) -> None:
-    """Tells a caller whose answer has begun that it cannot be completed.
+    """Sends an error to a caller whose answer has begun but cannot complete.
 
-    The body is left without its end, so that no client takes it for whole.
+    The body is left unterminated, so that no client takes it for complete.
     """
-    if exchange.streamed:
-        data = openai.error_body(refusal, exchange.request_id)
-        await exchange.send_part(event_stream.encode_event(None, data))
+    if exchange.is_streamed:
+        data = openai.encode_error_body(refusal, exchange.request_id)
+        await exchange.send_chunk(event_stream.encode_event(None, data))
--- a/hillthread/coordination/target_watch.py
+++ b/hillthread/coordination/target_watch.py
@@ -1,7 +1,7 @@
-"""Watches the data centre's targets: their load and who leaves.
+"""Polls the data centre's targets for their loads and for departures.
 
-The loads of one round are told together, as that costs least, but nobody waits
-for a target that is slow or silent: its load is told when it comes.
+The loads of one round are sent in one message, as that costs least. A slow or
+silent target does not delay the others: its load is sent when it arrives.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 __all__ = ["TargetWatch"]
 
-# For a whole answer, however its parts come.
-_TIMEOUT_S = 1.0
-# Wait for the loads that are told together; a target takes milliseconds.
-_ROUND_S = 0.1
-_LIST_POLL_S = 1.0
+# Bound on a whole answer, however its parts arrive.
+_READ_TIMEOUT_S = 1.0
+# Wait for the loads sent in one message; a target answers within milliseconds.
+_ROUND_WAIT_S = 0.1
+_LIST_POLL_INTERVAL_S = 1.0
 
 _logger = logging.getLogger(__name__)
 
 
-class _Listed(msgspec.Struct):
-    """One line of the platform's host list."""
+class _ListedTarget(msgspec.Struct):
+    """One entry of the platform's host list."""
 
     name: str
     state: str
@@ -40,39 +40,39 @@
 
 
 class _HostList(msgspec.Struct):
-    targets: list[_Listed]
+    targets: list[_ListedTarget]
 
 
 class _Round:
-    """Reads begun at the same time.
+    """Reads that started at the same time.
 
     Attributes:
-        loads: What came in so far.
-        reading: Targets whose load has not come.
-        told: Whether `loads` were told.
-        complete: Set when no target is left.
+        loads: Loads received so far.
+        reading: Targets whose read has not ended.
+        is_sent: Whether `loads` were sent.
+        complete: Set when all reads have ended.
     """
 
     def __init__(self, targets: list[objects.Target]):
         self.loads: list[messages.TargetLoad] = []
         self.reading = {target.name for target in targets}
-        self.told = False
+        self.is_sent = False
         self.complete = anyio.Event()
         if not targets:
             self.complete.set()
 
-    def end(self, target: objects.Target) -> None:
-        """Notes that a target's read has ended in any way."""
+    def finish(self, target: objects.Target) -> None:
+        """Records that a target's read has ended in any way."""
         self.reading.discard(target.name)
         if not self.reading:
             self.complete.set()
 
 
 class TargetWatch:
-    """Reads loads of the targets assigned to this host, and the host list.
+    """Polls the targets assigned to this host, and the platform's host list.
 
     Attributes:
-        failures: Reads that failed.
+        failures: Failed reads.
         reading: Targets whose load is being read.
     """
 
@@ -85,36 +85,43 @@
         self.node = node
         self.failures = 0
         self.reading: set[str] = set()
-        self.client = httpx.AsyncClient(trust_env=False, timeout=_TIMEOUT_S)
+        self.client = httpx.AsyncClient(
+            trust_env=False, timeout=_READ_TIMEOUT_S
+        )
 
     async def run_loads(self) -> None:
-        """Reads the loads of assigned targets until cancelled."""
+        """Polls the loads of the assigned targets until cancelled."""
         async with anyio.create_task_group() as group:
             while True:
                 started = clock.now()
                 await self._run_round(group)
-                passed = clock.now() - started
-                await anyio.sleep(max(0.0, self.settings.load_poll_s - passed))
+                elapsed_s = clock.now() - started
+                await anyio.sleep(
+                    max(0.0, self.settings.load_poll_s - elapsed_s)
+                )
 
     async def _run_round(self, group: anyio.abc.TaskGroup) -> None:
-        """Reads all targets that are not being read; tells what comes soon."""
+        """Reads all targets that are not being read, and sends their loads.
+
+        Loads that arrive after `_ROUND_WAIT_S` are sent one by one.
+        """
         targets = [
             target
-            for target in self.node.engines.watched()
+            for target in self.node.engines.list_watched()
             if target.name not in self.reading
         ]
-        reads = _Round(targets)
+        poll_round = _Round(targets)
         for target in targets:
             self.reading.add(target.name)
-            group.start_soon(self._read, target, reads)
-        with anyio.move_on_after(_ROUND_S):
-            await reads.complete.wait()
-        reads.told = True
-        if reads.loads:
-            self.node.tell_loads(messages.Loads(reads.loads))
+            group.start_soon(self._read, target, poll_round)
+        with anyio.move_on_after(_ROUND_WAIT_S):
+            await poll_round.complete.wait()
+        poll_round.is_sent = True
+        if poll_round.loads:
+            self.node.publish_loads(messages.Loads(poll_round.loads))
 
     async def run_host_list(self) -> None:
-        """Reads the platform's host list until cancelled."""
+        """Polls the platform's host list until cancelled."""
         if self.settings.host_list is None:
             return
         url = f"http://{self.settings.host_list}/targets"
@@ -122,49 +129,49 @@
             try:
                 response = await self._get(url)
                 listed = msgspec.json.decode(response.content, type=_HostList)
-                self._take_list(listed)
+                self._apply_host_list(listed)
             except (httpx.HTTPError, TimeoutError, msgspec.DecodeError):
                 self.failures += 1
-            await anyio.sleep(_LIST_POLL_S)
+            await anyio.sleep(_LIST_POLL_INTERVAL_S)
 
     async def _get(self, url: str) -> httpx.Response:
-        """Returns an answer that came whole in time.
+        """Returns an answer that was completely received in time.
 
         Raises:
-            httpx.HTTPError: There is none.
-            TimeoutError: It took too long; the client's own limit is for each
-                part of it.
+            httpx.HTTPError: The request failed.
+            TimeoutError: The whole answer took too long; the timeout of the
+                client itself applies to each read only.
         """
-        with anyio.fail_after(_TIMEOUT_S):
+        with anyio.fail_after(_READ_TIMEOUT_S):
             return await self.client.get(url)
 
-    async def _read(self, target: objects.Target, reads: _Round) -> None:
-        """Reads one target; tells its load if the round is told already."""
+    async def _read(self, target: objects.Target, poll_round: _Round) -> None:
+        """Reads one target; sends its load if the round was already sent."""
         try:
             load = await self._read_load(target)
             if load is None:
                 return
-            if reads.told:
-                self.node.tell_loads(messages.Loads([load]))
+            if poll_round.is_sent:
+                self.node.publish_loads(messages.Loads([load]))
             else:
-                reads.loads.append(load)
+                poll_round.loads.append(load)
         finally:
             self.reading.discard(target.name)
-            reads.end(target)
+            poll_round.finish(target)
 
     async def _read_load(
         self, target: objects.Target
     ) -> messages.TargetLoad | None:
-        """Returns a target's load, or None when it cannot be read."""
+        """Returns a target's load, or None if it cannot be read."""
         try:
             response = await self._get(f"http://{target.address}/metrics")
             report = engine.parse_metrics(response.text, 0.0)
         except (httpx.HTTPError, TimeoutError, ValueError):
             self.failures += 1
             return None
-        epoch = engine.epoch_of(response.headers)
+        epoch = engine.parse_epoch(response.headers)
         if engine.LEAVING in response.headers:
-            self.node.tell_target_state(
+            self.node.publish_target_state(
                 messages.TargetState(target.name, epoch.incarnation, True)
             )
         return messages.TargetLoad(
@@ -177,9 +184,9 @@
             epoch.weights_version,
         )
 
-    def _take_list(self, listed: _HostList) -> None:
-        for line in listed.targets:
+    def _apply_host_list(self, listed: _HostList) -> None:
+        for entry in listed.targets:
             state = messages.TargetState(
-                line.name, line.incarnation, line.state == "leaving"
+                entry.name, entry.incarnation, entry.state == "leaving"
             )
-            self.node.tell_target_state(state)
+            self.node.publish_target_state(state)
--- a/hillthread/coordination/whole_relay.py
+++ b/hillthread/coordination/whole_relay.py
@@ -1,8 +1,9 @@
-"""Relays answers that are not streams of events.
+"""Relays answers that are not event streams.
 
-A completion's answer is checked whole before any of it is passed on, and so is
-a plain service's short answer, so that a break can still be told. A long one is
-passed on as it comes and ends cleanly only when it did.
+The answer to a completion, and a short answer of a plain service, is read
+completely before any of it is relayed, so that a broken connection can still be
+reported as an error. A long answer of a plain service is relayed as it arrives
+and ends cleanly only if the target's answer did.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 
 __all__ = ["WholeRelay"]
 
-
-_SHORT_BYTES = 65_536
+# Longer answers of plain services are relayed as they arrive.
+_MAX_BUFFERED_BYTES = 65_536
 
 
 class _Answer(msgspec.Struct):
@@ -34,7 +35,7 @@
     """Relays one answer.
 
     Attributes:
-        usage: What the engine told, or None.
+        usage: The usage that the engine reported, or None.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         """Runs one attempt.
 
         Raises:
-            AttemptError: It gave no whole answer.
+            AttemptError: It gave no complete answer.
         """
         request = self.exchange.request
         path = request.path
@@ -78,17 +79,19 @@
     async def _relay_plain(
         self, response: target_client.TargetResponse
     ) -> None:
-        passed = headers_lib.answered(response.header_items)
+        answer_headers = headers_lib.filter_answer_headers(
+            response.header_items
+        )
         status = response.status_code
         length = response.headers.get("content-length", "")
-        if length.isdigit() and int(length) <= _SHORT_BYTES:
-            data = await self.client.read_all(response, _SHORT_BYTES)
-            await self.exchange.begin_answer(status, passed)
+        if length.isdigit() and int(length) <= _MAX_BUFFERED_BYTES:
+            data = await self.client.read_all(response, _MAX_BUFFERED_BYTES)
+            await self.exchange.begin_answer(status, answer_headers)
             await self.exchange.end_answer(data)
             return
-        await self.exchange.begin_answer(status, passed)
+        await self.exchange.begin_answer(status, answer_headers)
         async for chunk in self.client.read(response):
-            await self.exchange.send_part(chunk)
+            await self.exchange.send_chunk(chunk)
         await self.exchange.end_answer()
 
     async def _relay_completion(
@@ -100,8 +103,10 @@
         if response.status_code == 200:
             self._check_whole(data, expected.attempt)
             self.usage = engine.decode_usage(data)
-        passed = headers_lib.answered(response.header_items)
-        await self.exchange.begin_answer(response.status_code, passed)
+        answer_headers = headers_lib.filter_answer_headers(
+            response.header_items
+        )
+        await self.exchange.begin_answer(response.status_code, answer_headers)
         await self.exchange.end_answer(data)
 
     def _check_whole(self, data: bytes, attempt: records.AttemptRecord) -> None:
--- a/hillthread/standin/services.py
+++ b/hillthread/standin/services.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform: a log, a host list, a plain service."""
+"""Stand-ins of the platform: a log, a target list and a plain service."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 __all__ = ["HostListStandin", "LogStandin", "PlainStandin", "StandinSettings"]
 
-_MAX_BODY = 67_108_864
-_DEFAULT_BATCH = 500
+_MAX_BODY_BYTES = 67_108_864
+_DEFAULT_PAGE_RECORDS = 500
 
 
 class StandinSettings(settings_lib.SettingsStruct, frozen=True, kw_only=True):
     """Settings of a platform stand-in.
 
     Attributes:
-        listen: Where it serves.
-        lag_s: Age of what the host list tells.
+        listen: Address that it listens on.
+        lag_s: Age of the target list that it reports.
     """
 
     listen: settings_lib.Address = "127.0.0.1:0"
@@ -31,7 +31,7 @@
 
 
 class _Standin:
-    """What the stand-ins share: a server and a control page for tests."""
+    """Base of the stand-ins: a server and a control page for tests."""
 
     def __init__(self, settings: StandinSettings):
         self.settings = settings
@@ -46,10 +46,10 @@
         self, request: http_server.Request, send: http_server.Send
     ) -> None:
         """Serves one request."""
-        body = await request.body(_MAX_BODY)
+        body = await request.body(_MAX_BODY_BYTES)
         if request.path == "/control":
             self.faults.update(msgspec.json.decode(body))
-            self.control()
+            self.apply_control()
             await http_server.send_json(send, 200, {})
             return
         if self.faults.get("down"):
@@ -57,8 +57,8 @@
             return
         await self.answer(request, body, send)
 
-    def control(self) -> None:
-        """Acts on faults that are done at once."""
+    def apply_control(self) -> None:
+        """Applies the requested faults that take effect once."""
 
     async def answer(
         self, request: http_server.Request, body: bytes, send
@@ -68,29 +68,29 @@
 
 
 class LogStandin(_Standin):
-    """An append-only log with offsets, retention and outages.
+    """An append-only log with offsets, truncation and injected faults.
 
     Attributes:
-        streams: Records of each stream, from its first retained offset.
-        first: First retained offset of each stream.
+        streams: Retained records of each stream.
+        first_offsets: Offset of the first retained record of each stream.
     """
 
     def __init__(self, settings: StandinSettings):
         super().__init__(settings)
         self.streams: dict[str, list[str]] = {}
-        self.first: dict[str, int] = {}
+        self.first_offsets: dict[str, int] = {}
         self.changed = anyio.Event()
         self.appends = 0
         self.random = random.Random(1)
 
-    def control(self) -> None:
-        """`truncate`, `rollback`: {stream: offset}; others are states."""
+    def apply_control(self) -> None:
+        """Applies `truncate` and `rollback`, which map streams to offsets."""
         for stream, offset in self.faults.pop("truncate", {}).items():
-            first = self.first.get(stream, 0)
+            first = self.first_offsets.get(stream, 0)
             self.streams[stream] = self.streams[stream][offset - first :]
-            self.first[stream] = offset
+            self.first_offsets[stream] = offset
         for stream, offset in self.faults.pop("rollback", {}).items():
-            first = self.first.get(stream, 0)
+            first = self.first_offsets.get(stream, 0)
             self.streams[stream] = self.streams[stream][: offset - first]
 
     async def answer(
@@ -110,7 +110,7 @@
     async def _append(self, stream: str, body: bytes, send) -> None:
         wanted = msgspec.json.decode(body)["records"]
         records = self.streams.setdefault(stream, [])
-        offset = self.first.get(stream, 0) + len(records)
+        offset = self.first_offsets.get(stream, 0) + len(records)
         records.extend(wanted)
         self.appends += 1
         self.changed.set()
@@ -127,11 +127,11 @@
         self, stream: str, request: http_server.Request, send
     ) -> None:
         start = int(request.parameter("from", "0"))
-        limit = int(request.parameter("max", str(_DEFAULT_BATCH)))
+        limit = int(request.parameter("max", str(_DEFAULT_PAGE_RECORDS)))
         with anyio.move_on_after(float(request.parameter("wait_s", "0"))):
             while start >= self._next(stream):
                 await self.changed.wait()
-        first = self.first.get(stream, 0)
+        first = self.first_offsets.get(stream, 0)
         if start < first:
             await http_server.send_json(send, 410, {"first_offset": first})
             return
@@ -150,22 +150,24 @@
         )
 
     def _next(self, stream: str) -> int:
-        return self.first.get(stream, 0) + len(self.streams.get(stream, []))
+        return self.first_offsets.get(stream, 0) + len(
+            self.streams.get(stream, [])
+        )
 
 
 class HostListStandin(_Standin):
-    """A list of live and leaving targets that lags.
+    """A list of live and leaving targets that is reported with a delay.
 
     Attributes:
-        versions: What was listed since when.
+        versions: Monotonic time and targets of each version of the list.
     """
 
     def __init__(self, settings: StandinSettings):
         super().__init__(settings)
         self.versions: list[tuple[float, list[Any]]] = [(0.0, [])]
 
-    def control(self) -> None:
-        """`targets`: the new list."""
+    def apply_control(self) -> None:
+        """Applies `targets`, which holds a new list."""
         if "targets" in self.faults:
             listed = self.faults.pop("targets")
             self.versions.append((time.monotonic(), listed))
@@ -181,10 +183,10 @@
 
 
 class PlainStandin(_Standin):
-    """A plain service that notes each call it runs.
+    """A plain service that records each call and echoes it.
 
     Attributes:
-        journal: Method, path and body length of each call.
+        journal: Method, path, attempt ID and body of each call.
     """
 
     def __init__(self, settings: StandinSettings):
--- a/hillthread/transport/http1_client.py
+++ b/hillthread/transport/http1_client.py
@@ -1,4 +1,7 @@
-"""Requests to targets over kept connections; what was sent stays known."""
+"""HTTP/1.1 client with kept-alive connections to targets.
+
+Every failed call tells whether bytes of the request may have been sent.
+"""
 
 from __future__ import annotations
 
@@ -18,61 +21,64 @@
     "ClientConnection",
     "ClientRequest",
     "ConnectionPool",
-    "MOST_IDLE",
+    "MAX_IDLE_CONNECTIONS",
     "WholeAnswer",
     "call",
 ]
 
 _MAX_HEAD_BYTES = 65_536
-# Connections kept to one address, where nothing tells what its peer bears.
-MOST_IDLE = 64
-# How long a kept connection may have rested for a request that may not be
-# repeated; less once one turned out dead, and slowly more again.
-_LONGEST_TRUST_S = 2.5
-_LEAST_TRUST_S = 0.2
-_TRUST_GAIN = 1.02
-# Used up to this share of the time a peer said it keeps idle connections.
+# Idle connections kept per address when the peer's own limit is unknown.
+MAX_IDLE_CONNECTIONS = 64
+# Bounds of the idle time after which a kept connection is not used for a
+# request that may not be repeated. The limit drops when a kept connection turns
+# out to be dead, and grows slowly with each reuse that succeeds.
+_MAX_UNREPEATABLE_IDLE_S = 2.5
+_MIN_UNREPEATABLE_IDLE_S = 0.2
+_IDLE_LIMIT_GROWTH_FACTOR = 1.02
+# Share of the peer's announced keep-alive timeout during which a connection is
+# used again.
 _KEEP_ALIVE_SHARE = 0.85
-# When the peer tells no time: shorter than what peers are seen to keep.
-_DEFAULT_KEEP_S = 4.0
-# A timer that goes off so late tells of this process, not of the peer.
-_STANDSTILL_S = 0.03
+# Assumed when the peer announces no keep-alive timeout: shorter than what peers
+# keep in practice.
+_DEFAULT_KEEP_ALIVE_S = 4.0
+# A timer that fires this late was delayed by this process, not by the peer.
+_TIMER_DELAY_S = 0.03
 _INLINE_BODY_BYTES = 16_384
-_GARBLED = (h11.RemoteProtocolError, h11.LocalProtocolError)
+_PROTOCOL_ERRORS = (h11.RemoteProtocolError, h11.LocalProtocolError)
 
 
 class CallError(Exception):
-    """A call did not bring a whole answer.
+    """A call failed before its answer was complete.
 
     Attributes:
         sent: Whether any byte of the request may have reached the peer.
-        reason: What happened, in a few words.
-        unheard: No connection came up, and nothing was heard of why.
-        refused: Nobody listens at the address.
+        reason: A short description of the failure.
+        connect_timed_out: Whether connecting timed out without an error.
+        connection_refused: Whether no process listens at the address.
     """
 
     def __init__(
         self,
         sent: bool,
         reason: str,
-        unheard: bool = False,
-        refused: bool = False,
+        connect_timed_out: bool = False,
+        connection_refused: bool = False,
     ):
         super().__init__(reason)
         self.sent = sent
         self.reason = reason
-        self.unheard = unheard
-        self.refused = refused
+        self.connect_timed_out = connect_timed_out
+        self.connection_refused = connection_refused
 
 
 class ClientRequest(NamedTuple):
     """A request to a target.
 
     Attributes:
-        method: In capitals.
+        method: Upper-case method name.
         target: Path and query.
-        headers: Without those that frame the body.
-        body: The whole body.
+        headers: All headers except those that frame the body.
+        body: The complete body.
     """
 
     method: bytes
@@ -85,15 +91,15 @@
     """The head of an answer.
 
     Attributes:
-        status: HTTP status.
-        headers: In order, names in lower case.
+        status: HTTP status code.
+        headers: Names and values in order, names in lower case.
     """
 
     status: int
     headers: http1.Headers
 
     def get(self, name: bytes) -> bytes:
-        """Returns the first value of a header, or nothing."""
+        """Returns the first value of a header, or an empty value."""
         for each, value in self.headers:
             if each == name:
                 return value
@@ -101,7 +107,7 @@
 
 
 class WholeAnswer(NamedTuple):
-    """An answer with its whole body."""
+    """An answer with its complete body."""
 
     head: AnswerHead
     body: bytes
@@ -112,41 +118,43 @@
 
     Attributes:
         address: `IP:port`.
-        opened_at: Seconds, when it came up.
-        used_at: Seconds, when its last answer ended.
-        keep_s: Seconds it may rest before it is used again.
+        opened_at: Time of the loop, in seconds, when it was established.
+        last_used_at: Time of the loop when its last answer ended.
+        keep_alive_s: Maximum idle time before it is used again.
         requests: Requests sent over it.
-        body_sent: Whether the whole request was handed to the kernel.
-        sent_before: Bytes that were sent before the last request.
+        is_body_sent: Whether the kernel accepted the whole last request.
+        sent_bytes_before_request: Value of `sent_bytes` before the last
+            request.
+        must_close: Whether it may not carry another request.
     """
 
     def __init__(self, stream, address: str):
         super().__init__(stream, h11.CLIENT, _MAX_HEAD_BYTES)
         self.address = address
         self.opened_at = anyio.current_time()
-        self.used_at = self.opened_at
-        self.keep_s = _DEFAULT_KEEP_S
+        self.last_used_at = self.opened_at
+        self.keep_alive_s = _DEFAULT_KEEP_ALIVE_S
         self.requests = 0
-        self.body_sent = True
-        self.sent_before = 0
-        self.told_close = False
+        self.is_body_sent = True
+        self.sent_bytes_before_request = 0
+        self.must_close = False
 
     async def send_request(self, request: ClientRequest) -> None:
-        """Sends a request whole; a long body is sent by `send_body`.
+        """Sends a request; a long body is left to `send_body`.
 
         Raises:
             CallError: The connection was lost.
         """
         self.requests += 1
-        self.sent_before = self.sent_bytes
+        self.sent_bytes_before_request = self.sent_bytes
         head = h11.Request(
             method=request.method,
             target=request.target,
-            headers=_framed(request),
+            headers=_framed_headers(request),
         )
         events: list[h11.Event] = [head]
-        self.body_sent = len(request.body) <= _INLINE_BODY_BYTES
-        if self.body_sent:
+        self.is_body_sent = len(request.body) <= _INLINE_BODY_BYTES
+        if self.is_body_sent:
             events += [h11.Data(data=request.body)] if request.body else []
             events.append(h11.EndOfMessage())
         try:
@@ -159,19 +167,19 @@
     async def send_body(self, request: ClientRequest) -> None:
         """Sends the body of a request whose head was sent.
 
-        An answer may come, and the peer may stop reading, before its end.
+        The peer may answer or stop reading before the whole body is sent.
         """
         try:
             await self.send([h11.Data(data=request.body), h11.EndOfMessage()])
         except (http1.ConnectionLostError, h11.LocalProtocolError):
-            return  # reading the answer tells what became of the request
-        self.body_sent = True
+            return  # reading the answer raises the error
+        self.is_body_sent = True
 
     async def read_head(self) -> AnswerHead:
         """Returns the head of the final answer.
 
         Raises:
-            CallError: No answer came, or what came is none.
+            CallError: The connection failed, or the answer is not valid HTTP.
         """
         try:
             while True:
@@ -180,19 +188,19 @@
                     case h11.InformationalResponse():
                         continue
                     case h11.Response():
-                        return self._head(event)
+                        return self._decode_head(event)
                     case _:
                         raise CallError(True, "closed before an answer")
         except http1.ConnectionLostError as error:
             raise CallError(True, f"lost before an answer: {error}") from error
-        except _GARBLED as error:
+        except _PROTOCOL_ERRORS as error:
             raise CallError(True, f"not an HTTP answer: {error}") from error
 
     async def read_part(self) -> bytes:
-        """Returns a part of the answer's body; nothing at its end.
+        """Returns the next part of the answer's body; nothing at its end.
 
         Raises:
-            CallError: The answer broke off.
+            CallError: The answer is truncated or not valid HTTP.
         """
         try:
             while True:
@@ -207,14 +215,14 @@
                         raise CallError(True, "answer broke off")
         except http1.ConnectionLostError as error:
             raise CallError(True, f"answer cut: {error}") from error
-        except _GARBLED as error:
+        except _PROTOCOL_ERRORS as error:
             raise CallError(True, f"answer broke off: {error}") from error
 
     async def read_body(self, limit: int) -> bytes:
         """Returns the whole body of an answer.
 
         Raises:
-            CallError: It broke off or is larger than `limit`.
+            CallError: The body is truncated or larger than `limit`.
         """
         parts = []
         size = 0
@@ -226,129 +234,141 @@
         return b"".join(parts)
 
     def is_request_unacknowledged(self) -> bool:
-        """Returns whether the peer's kernel has seen nothing of the request.
+        """Returns whether the peer's kernel acknowledged none of the request.
 
-        Tells only of requests that were handed to the kernel whole: a peer
-        that reads a long body slowly leaves a part of it unacknowledged.
+        Returns False until the whole request was sent: a peer that reads a long
+        body slowly leaves a part of it unacknowledged.
         """
-        sent = self.sent_bytes - self.sent_before
-        if not sent or not self.body_sent:
+        sent = self.sent_bytes - self.sent_bytes_before_request
+        if not sent or not self.is_body_sent:
             return False
         return self.unacknowledged_bytes() >= sent
 
-    def can_be_kept(self) -> bool:
-        """Returns whether another request may follow on the connection."""
+    def is_reusable(self) -> bool:
+        """Returns whether the connection may carry another request."""
         if self.requests == 0:
             return True
-        if self.told_close or not self.body_sent:
+        if self.must_close or not self.is_body_sent:
             return False
-        if self.machine.our_state is not h11.DONE:
+        if self.state_machine.our_state is not h11.DONE:
             return False
-        if self.machine.their_state is not h11.DONE:
+        if self.state_machine.their_state is not h11.DONE:
             return False
-        return not self.machine.trailing_data[0]
+        return not self.state_machine.trailing_data[0]
 
-    def _head(self, response: h11.Response) -> AnswerHead:
+    def _decode_head(self, response: h11.Response) -> AnswerHead:
         head = AnswerHead(
             response.status_code,
             [(bytes(name), bytes(value)) for name, value in response.headers],
         )
-        self.keep_s = _keep_s(head.get(b"keep-alive"))
-        self.told_close = b"close" in head.get(b"connection").lower()
+        self.keep_alive_s = _parse_keep_alive_s(head.get(b"keep-alive"))
+        self.must_close = b"close" in head.get(b"connection").lower()
         return head
 
 
 class ConnectionPool:
-    """Keeps connections to targets, the last used one first.
+    """A pool of connections to targets, reused last in, first out.
 
     Attributes:
-        connect_timeout_s: For a new connection to come up.
-        probes: How many unanswered probes of the kernel end a connection.
-        opened: Connections opened so far, by why no kept one was used.
-        idle: Connections not in use, by address, the last used last.
-        keep_told: How long peers said they keep connections, counted.
-        trust_s: A request that may not be repeated takes a kept connection
-            only if it rested less; falls when kept connections turn out dead.
-        suspect_before: Seconds; connections that have rested since before
-            then may have fallen silent, and are used no more.
+        connect_timeout_s: Timeout for establishing a connection.
+        probes: Unanswered keepalive probes after which the kernel drops a
+            connection.
+        opened: Connections opened so far, by the reason why no idle one was
+            used.
+        idle: Idle connections by address, the last used one at the end.
+        keep_alive_counts: Releases of connections, by their keep-alive time in
+            seconds.
+        unrepeatable_max_idle_s: Idle time above which a kept connection is not
+            used for a request that may not be repeated. It is lowered when a
+            kept connection turns out to be dead.
+        suspect_before: Time of the loop. Connections last used before it may
+            have fallen silent and are not used again.
     """
 
-    def __init__(self, connect_timeout_s: float, probes: int = http1.PROBES):
+    def __init__(
+        self, connect_timeout_s: float, probes: int = http1.KEEPALIVE_PROBES
+    ):
         self.connect_timeout_s = connect_timeout_s
         self.probes = probes
-        self.trust_s = _LONGEST_TRUST_S
+        self.unrepeatable_max_idle_s = _MAX_UNREPEATABLE_IDLE_S
         self.opened: collections.Counter[str] = collections.Counter()
         self.idle: dict[str, collections.deque[ClientConnection]] = {}
-        self.keep_told: collections.Counter[str] = collections.Counter()
+        self.keep_alive_counts: collections.Counter[str] = collections.Counter()
         self.suspect_before = float("-inf")
 
     def has_idle(self, address: str) -> bool:
-        """Returns whether a kept connection is likely to be there."""
+        """Returns whether `acquire` is likely to find an idle connection."""
         now = anyio.current_time()
         kept = self.idle.get(address)
-        if not kept or kept[-1].used_at < self.suspect_before:
+        if not kept or kept[-1].last_used_at < self.suspect_before:
             return False
-        return now - kept[-1].used_at < kept[-1].keep_s
+        return now - kept[-1].last_used_at < kept[-1].keep_alive_s
 
-    async def take(
+    async def acquire(
         self, address: str, max_idle_s: float = float("inf")
     ) -> ClientConnection:
-        """Returns a kept connection that rested briefly, or a new one.
+        """Returns a connection idle for at most `max_idle_s`, or a new one.
 
         Raises:
-            CallError: No connection came up; nothing was sent.
+            CallError: No connection could be established; nothing was sent.
         """
         kept = self.idle.get(address)
         reason = "none_kept"
         while kept:
             connection = kept.pop()
-            rested_s = anyio.current_time() - connection.used_at
-            if rested_s >= connection.keep_s:
+            idle_s = anyio.current_time() - connection.last_used_at
+            if idle_s >= connection.keep_alive_s:
                 reason = "rested_too_long"
-            elif connection.used_at < self.suspect_before:
+            elif connection.last_used_at < self.suspect_before:
                 reason = "suspect"
             elif connection.is_readable():
                 reason = "closed_by_peer"
-            elif rested_s > max_idle_s:
+            elif idle_s > max_idle_s:
                 kept.append(connection)
                 reason = "too_old_for_request"
                 break
             else:
                 if connection.requests:
-                    connection.machine.start_next_cycle()
+                    connection.state_machine.start_next_cycle()
                 return connection
             await connection.close()
         return await self.open(address, reason)
 
-    def note_dead(self, rested_s: float) -> None:
-        """Notes that a kept connection had died while it rested."""
-        self.trust_s = max(_LEAST_TRUST_S, min(self.trust_s, rested_s / 2.0))
+    def record_stale(self, idle_s: float) -> None:
+        """Lowers the idle limit: a connection died while it was idle."""
+        self.unrepeatable_max_idle_s = max(
+            _MIN_UNREPEATABLE_IDLE_S,
+            min(self.unrepeatable_max_idle_s, idle_s / 2.0),
+        )
 
-    def suspect(self, since: float) -> None:
-        """Notes that a connection that rested until then was silent.
+    def mark_suspect(self, since: float) -> None:
+        """Stops the reuse of connections that have been idle since `since`.
 
-        Connections seldom fall silent alone, and each one costs a request
-        that waits in vain.
+        Called when such a connection was silent. Connections seldom fall silent
+        alone, and each silent one makes a request wait until it fails.
         """
         self.suspect_before = max(self.suspect_before, since)
 
-    def note_alive(self) -> None:
-        """Notes that a kept connection carried a request."""
-        self.trust_s = min(_LONGEST_TRUST_S, self.trust_s * _TRUST_GAIN)
+    def record_reused(self) -> None:
+        """Raises the idle limit: a kept connection carried a request."""
+        self.unrepeatable_max_idle_s = min(
+            _MAX_UNREPEATABLE_IDLE_S,
+            self.unrepeatable_max_idle_s * _IDLE_LIMIT_GROWTH_FACTOR,
+        )
 
-    async def give_back(
-        self, connection: ClientConnection, most_idle: int = MOST_IDLE
+    async def release(
+        self, connection: ClientConnection, max_idle: int = MAX_IDLE_CONNECTIONS
     ) -> None:
-        """Keeps a connection whose exchange ended cleanly, else closes it.
+        """Keeps a connection that is reusable, and closes it otherwise.
 
         Args:
-            connection: It.
-            most_idle: Connections kept to its address, this one included.
+            connection: The connection to release.
+            max_idle: Idle connections kept to its address, including this one.
         """
         kept = self.idle.setdefault(connection.address, collections.deque())
-        if connection.can_be_kept() and len(kept) < most_idle:
-            connection.used_at = anyio.current_time()
-            self.keep_told[f"{connection.keep_s:.1f}"] += 1
+        if connection.is_reusable() and len(kept) < max_idle:
+            connection.last_used_at = anyio.current_time()
+            self.keep_alive_counts[f"{connection.keep_alive_s:.1f}"] += 1
             kept.append(connection)
             return
         await connection.close()
@@ -357,22 +377,22 @@
         """Closes all idle connections to an address."""
         kept = self.idle.pop(address, collections.deque())
         closing = list(kept)
-        kept.clear()  # others may be taking from it while these are closed
+        kept.clear()  # other tasks may acquire connections during `close`
         for connection in closing:
             await connection.close()
 
-    async def drop_rested(self, address: str, since: float) -> None:
-        """Closes idle connections to an address that have rested since then.
+    async def drop_idle_since(self, address: str, since: float) -> None:
+        """Closes connections to an address that have been idle since `since`.
 
-        Connections seldom die alone: one that was lost makes suspect those
-        that have carried nothing since, not those that proved alive.
+        Connections seldom die alone: after a lost call, those that have carried
+        nothing since may be dead too, unlike those that carried an answer.
         """
         kept = self.idle.get(address, collections.deque())
-        rested = [each for each in kept if each.used_at < since]
-        for connection in rested:
+        idle_connections = [each for each in kept if each.last_used_at < since]
+        for connection in idle_connections:
             kept.remove(connection)
-        # Others may take and give back while these are closed.
-        for connection in rested:
+        # Other tasks may acquire and release connections during `close`.
+        for connection in idle_connections:
             await connection.close()
 
     async def close(self) -> None:
@@ -385,41 +405,49 @@
 
         Args:
             address: `IP:port`.
-            reason: Why no kept one is used, for the count.
+            reason: Why no idle one is used, counted in `opened`.
 
         Raises:
-            CallError: It did not come up.
+            CallError: The connection could not be established.
         """
         try:
             stream = await self._connect(address)
         except TimeoutError as error:
             raise CallError(
-                False, "connecting timed out", unheard=True
+                False, "connecting timed out", connect_timed_out=True
             ) from error
         except OSError as error:
-            refused = isinstance(error, ConnectionRefusedError)
+            connection_refused = isinstance(error, ConnectionRefusedError)
             raise CallError(
-                False, f"cannot connect: {error}", refused=refused
+                False,
+                f"cannot connect: {error}",
+                connection_refused=connection_refused,
             ) from error
         self.opened[reason] += 1
-        http1.tune_socket(stream, http1.TARGET_SILENCE_MS, self.probes)
+        http1.enable_dead_peer_detection(
+            stream, http1.TARGET_USER_TIMEOUT_MS, self.probes
+        )
         return ClientConnection(stream, address)
 
     async def _connect(self, address: str) -> byte_stream.ByteStream:
-        """Returns a connected socket.
+        """Returns a connected stream.
 
-        A time that was over because this process stood still, or had too
-        little processor time, says nothing of the peer: it is tried again.
+        A timeout that fires late because this process was paused, or had too
+        little processor time, does not show that the peer is unreachable, so
+        connecting is tried once more.
         """
         ip, port = settings_lib.split_address(address)
-        for last in (False, True):
+        for is_last_attempt in (False, True):
             began_at = anyio.current_time()
             try:
                 with anyio.fail_after(self.connect_timeout_s):
-                    return await byte_stream.connected(ip, port)
+                    return await byte_stream.open_connection(ip, port)
             except TimeoutError:
-                late_s = anyio.current_time() - began_at
-                if last or late_s < self.connect_timeout_s + _STANDSTILL_S:
+                elapsed_s = anyio.current_time() - began_at
+                if (
+                    is_last_attempt
+                    or elapsed_s < self.connect_timeout_s + _TIMER_DELAY_S
+                ):
                     raise
         raise AssertionError("not reached")
 
@@ -431,46 +459,47 @@
     timeout_s: float,
     max_bytes: int,
 ) -> WholeAnswer:
-    """Returns the whole answer of a short call.
+    """Sends a request and returns its whole answer.
 
-    After one that was lost, the next call takes a new connection, or one that
-    has carried an answer meanwhile.
+    After a failed call, the next one uses a new connection, or one that has
+    carried an answer since.
 
     Raises:
-        CallError: There is none; `sent` tells whether it may have been done.
+        CallError: The call failed; `sent` tells whether the peer may have
+            processed the request.
     """
     connection = None
     began_at = anyio.current_time()
     try:
         with anyio.fail_after(timeout_s):
-            connection = await pool.take(address)
+            connection = await pool.acquire(address)
             await connection.send_request(request)
-            if not connection.body_sent:
+            if not connection.is_body_sent:
                 await connection.send_body(request)
             head = await connection.read_head()
             body = await connection.read_body(max_bytes)
     except TimeoutError as error:
-        await pool.drop_rested(address, began_at)
+        await pool.drop_idle_since(address, began_at)
         raise CallError(connection is not None, "timed out") from error
     except CallError:
-        await pool.drop_rested(address, began_at)
+        await pool.drop_idle_since(address, began_at)
         raise
     finally:
         if connection is not None:
-            await pool.give_back(connection)
+            await pool.release(connection)
     return WholeAnswer(head, body)
 
 
-def _framed(request: ClientRequest) -> http1.Headers:
+def _framed_headers(request: ClientRequest) -> http1.Headers:
     if not request.body and request.method in (b"GET", b"HEAD"):
         return request.headers
     length = b"%d" % len(request.body)
     return [*request.headers, (b"content-length", length)]
 
 
-def _keep_s(header: bytes) -> float:
+def _parse_keep_alive_s(header: bytes) -> float:
     for term in header.split(b","):
         name, _, value = term.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return int(value) * _KEEP_ALIVE_SHARE
-    return _DEFAULT_KEEP_S
+    return _DEFAULT_KEEP_ALIVE_S
--- a/hillthread/transport/service.py
+++ b/hillthread/transport/service.py
@@ -1,4 +1,4 @@
-"""What every program does: logs, signals, status pages."""
+"""Logging, signals and status pages, shared by the server programs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 __all__ = [
     "StatusPages",
-    "announce",
+    "print_addresses",
     "configure_logging",
     "wait_for_signal",
 ]
@@ -25,30 +25,31 @@
 
 
 class StatusPages:
-    """Answers `/healthz`, `/readyz` and `/metrics`.
+    """Serves `/healthz`, `/readyz` and `/metrics`.
 
     Attributes:
-        registry: The metrics served.
-        ready: Returns an empty string, or why the program is not ready.
+        registry: The metrics to serve.
+        not_ready_reason: Returns why the program is not ready, or an empty
+            string when it is.
     """
 
     def __init__(
         self,
         registry: prometheus_client.CollectorRegistry,
-        ready: Callable[[], str],
+        not_ready_reason: Callable[[], str],
     ):
         self.registry = registry
-        self.ready = ready
+        self.not_ready_reason = not_ready_reason
 
     async def answer(
         self, request: http_server.Request, send: http_server.Send
     ) -> bool:
-        """Answers a status page; returns whether the path was one."""
+        """Serves a status page; returns whether the path is one."""
         match request.path:
             case "/healthz":
                 await http_server.send_json(send, 200, {"healthy": True})
             case "/readyz":
-                reason = self.ready()
+                reason = self.not_ready_reason()
                 status = 503 if reason else 200
                 await http_server.send_json(
                     send, status, {"ready": not reason, "reason": reason}
@@ -64,7 +65,7 @@
 
 
 def configure_logging() -> None:
-    """Sends logs as JSON lines to the standard error stream."""
+    """Writes logs as JSON lines to the standard error stream."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         jsonlogger.JsonFormatter(
@@ -77,14 +78,14 @@
     logging.getLogger("websockets").setLevel(logging.WARNING)
 
 
-def announce(**addresses: str) -> None:
-    """Prints where the program listens, one line that scripts can read."""
-    words = " ".join(f"{name}={value}" for name, value in addresses.items())
-    print(f"listening {words}", flush=True)
+def print_addresses(**addresses: str) -> None:
+    """Prints the addresses the program listens on as one parseable line."""
+    pairs = " ".join(f"{name}={value}" for name, value in addresses.items())
+    print(f"listening {pairs}", flush=True)
 
 
 async def wait_for_signal() -> None:
-    """Returns when the program is asked to stop."""
+    """Returns when the program receives SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             return
--- a/tests/coordination/test_attempt_checks.py
+++ b/tests/coordination/test_attempt_checks.py
@@ -1,4 +1,4 @@
-"""Tests of what a router learns from the head of a target's answer."""
+"""Tests of the checks of an answer's head."""
 
 import types
 import unittest
@@ -22,8 +22,8 @@
         )
         self.target = test_fleet.make_target("t0")
 
-    def refuse(self, status, **headers):
-        """Has the target refuse an attempt."""
+    def check_refusal(self, status, **headers):
+        """Checks a refusal of the target; expects an error."""
         response = types.SimpleNamespace(
             status_code=status,
             headers={
@@ -38,23 +38,23 @@
             self.checker.check(response, expected)
 
     def exclusion(self, now):
-        """Returns why the target is not eligible."""
+        """Returns the exclusion of the target, or None."""
         pool = objects.Pool(name="p", target_selector="")
-        placement = fleet_lib.Placement([self.target], pool, "m")
-        found = self.fleet.choose(test_fleet.QUERY, placement, now)
+        constraints = fleet_lib.PlacementConstraints([self.target], pool, "m")
+        found = self.fleet.choose(test_fleet.QUERY, constraints, now)
         return found.scores[0].exclusion
 
-    # Guards against requests to a target that shed load with a Retry-After
-    # whose time is not over.
-    def test_target_is_left_alone_for_its_backoff(self):
-        self.refuse(503, retry_after="30")
+    # Guards against requests to a target that sheds load before the time in
+    # its Retry-After is over.
+    def test_target_is_excluded_during_its_backoff(self):
+        self.check_refusal(503, retry_after="30")
         now = clock.now()
         backing_off = decision.Exclusion.BACKING_OFF
         self.assertEqual(self.exclusion(now), backing_off)
         self.assertIsNone(self.exclusion(now + 31.0))
 
-    def test_other_refusals_ask_for_no_backoff(self):
-        self.refuse(503)
-        self.refuse(503, retry_after="soon")
-        self.refuse(429, retry_after="30")
+    def test_other_refusals_start_no_backoff(self):
+        self.check_refusal(503)
+        self.check_refusal(503, retry_after="soon")
+        self.check_refusal(429, retry_after="30")
         self.assertIsNone(self.exclusion(clock.now()))
--- a/tests/coordination/test_gate.py
+++ b/tests/coordination/test_gate.py
@@ -1,4 +1,4 @@
-"""Tests of admission: places, turns and true reasons."""
+"""Tests of admission: slots, queue order and reasons of refusals."""
 
 import time
 import types
@@ -17,15 +17,15 @@
 TARGET = objects.Target(
     name="t", address="127.0.0.1:1", data_centre="dc1", models=["m"]
 )
-PLACEMENT = fleet_lib.Placement([TARGET], POOL, "m")
+CONSTRAINTS = fleet_lib.PlacementConstraints([TARGET], POOL, "m")
 
 
 class Exchange:
-    """As much of an exchange as the gate needs."""
+    """A fake exchange with what the gate uses."""
 
     def __init__(self, name, priority=0):
         self.name = name
-        self.intent = types.SimpleNamespace(
+        self.parsed = types.SimpleNamespace(
             query=fleet_lib.make_query((), 1.0, b"k")
         )
         self.resolved = types.SimpleNamespace(
@@ -44,17 +44,17 @@
 class GateTest(unittest.IsolatedAsyncioTestCase):
     def setUp(self):
         self.fleet = fleet_lib.Fleet("dc1")
-        self.gate = gate_lib.Gate(self.fleet)
+        self.gate = gate_lib.AdmissionGate(self.fleet)
         self.outcomes = {}
 
     async def reserve(self, exchange):
         try:
-            attempt = await self.gate.reserve(exchange, PLACEMENT)
+            attempt = await self.gate.reserve(exchange, CONSTRAINTS)
             self.outcomes[exchange.name] = attempt.attempt_id
         except errors.RefusalError as refusal:
             self.outcomes[exchange.name] = refusal.code
 
-    async def test_waiter_gets_the_place_that_is_given_back(self):
+    async def test_waiter_gets_the_released_slot(self):
         await self.reserve(Exchange("a"))
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, Exchange("b"))
@@ -63,7 +63,7 @@
             self.gate.release("a")
         self.assertEqual(self.outcomes["b"], "b")
 
-    async def test_lower_class_is_shed_at_once(self):
+    async def test_lower_class_is_shed_when_the_queue_is_full(self):
         await self.reserve(Exchange("a"))
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, Exchange("low", priority=5))
@@ -74,7 +74,7 @@
             self.gate.release("a")
         self.assertEqual(self.outcomes["high"], "high")
 
-    async def test_waiter_whose_targets_leave_is_told_so(self):
+    async def test_waiter_whose_targets_leave_is_refused_with_no_target(self):
         await self.reserve(Exchange("a"))
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, Exchange("b"))
@@ -85,10 +85,10 @@
 
 
 class ModelsTest(unittest.IsolatedAsyncioTestCase):
-    """Requests of one pool that need different targets."""
+    """Tests of requests in one pool that need different targets."""
 
     def setUp(self):
-        self.gate = gate_lib.Gate(fleet_lib.Fleet("dc1"))
+        self.gate = gate_lib.AdmissionGate(fleet_lib.Fleet("dc1"))
         self.served = []
         self.targets = [
             objects.Target(
@@ -102,11 +102,13 @@
         self.pool = msgspec.structs.replace(POOL, queue_size=4)
 
     async def reserve(self, name, model, priority=0):
-        placement = fleet_lib.Placement(self.targets, self.pool, model)
-        await self.gate.reserve(Exchange(name, priority), placement)
+        constraints = fleet_lib.PlacementConstraints(
+            self.targets, self.pool, model
+        )
+        await self.gate.reserve(Exchange(name, priority), constraints)
         self.served.append(name)
 
-    async def test_waiter_without_a_place_holds_up_no_other_model(self):
+    async def test_saturated_model_does_not_block_another_model(self):
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, "b", "m")
@@ -118,7 +120,7 @@
             self.gate.release("a")
         self.assertEqual(self.served, ["a", "c", "b"])
 
-    async def test_freed_place_goes_past_who_cannot_use_it(self):
+    async def test_released_slot_skips_waiters_of_another_model(self):
         await self.reserve("a", "m")
         await self.reserve("c", "n")
         async with anyio.create_task_group() as group:
@@ -141,8 +143,8 @@
                 await anyio.wait_all_tasks_blocked()
         self.assertEqual(self.served, ["a", "e", "b", "d"])
 
-    async def test_newcomer_waits_behind_others_of_its_model(self):
-        """Also when a place has come free that nobody was told of."""
+    async def test_new_request_waits_behind_others_of_its_model(self):
+        """Also when a slot became free without a release by the gate."""
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, "b", "m")
@@ -156,8 +158,8 @@
             self.gate.release("b")
         self.assertEqual(self.served, ["a", "b", "d"])
 
-    async def test_old_targets_of_a_waiter_hold_up_no_newer_ones(self):
-        """A target has joined since; who came before does not know it."""
+    async def test_waiter_with_old_targets_does_not_block_newer_requests(self):
+        """The targets of the earlier request lack one that joined later."""
         await self.reserve("a", "m")
         async with anyio.create_task_group() as group:
             group.start_soon(self.reserve, "b", "m")
