--- a/hillthread/coordination/dialer.py
+++ b/hillthread/coordination/dialer.py
@@ -21,19 +21,22 @@
 from hillthread.state.routing import placement
 from hillthread.transport import link as link_lib
 
-__all__ = ["Dialer", "select_gateway_hosts", "select_peers"]
+__all__ = ["Dialer", "select_interlink_hosts", "select_peers"]
 
 # Hosts of a data centre that have links to another one. Two of them tolerate
 # the loss of one.
-_GATEWAY_HOST_COUNT = 2
+_INTERLINK_HOST_COUNT = 2
 # Interval of checks for missing links, and the first pause after a failure.
 _CHECK_INTERVAL_S = 0.25
 # Limit of the pause, which doubles after each failure.
 _MAX_BACKOFF_S = 5.0
 
 
-def select_gateway_hosts(
-    own: str, other: str, hosts: Iterable[str], count: int = _GATEWAY_HOST_COUNT
+def select_interlink_hosts(
+    own: str,
+    other: str,
+    hosts: Iterable[str],
+    count: int = _INTERLINK_HOST_COUNT,
 ) -> list[str]:
     """Returns those of `hosts`, of `own`, that link to data centre `other`."""
     key = "|".join(sorted((own, other))).encode()
@@ -58,13 +61,13 @@
     selected = [peer for peer in local_peers if settings.host < peer.host]
     local_hosts = [peer.host for peer in local_peers if peer.host not in lost]
     for other, peers in by_data_centre.items():
-        own_gateways = select_gateway_hosts(
+        own_gateways = select_interlink_hosts(
             own, other, [*local_hosts, settings.host]
         )
         if own > other or settings.host not in own_gateways:
             continue
         alive = [peer.host for peer in peers if peer.host not in lost]
-        other_gateways = select_gateway_hosts(own, other, alive)
+        other_gateways = select_interlink_hosts(own, other, alive)
         selected += [peer for peer in peers if peer.host in other_gateways]
     return selected
 
--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -173,7 +173,7 @@
         )
         self.site.on_target_withdrawn = self._close_idle_connections
         self.site.on_target_forgotten = self.limits.forget
-        self.site.on_target_terminated = self.quarantine.record_target_end
+        self.site.on_target_terminated = self.quarantine.record_target_crash
         self.server = http1_server.Server(
             settings_lib.split_address(settings.listen),
             self.gateway.handle,
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -56,7 +56,7 @@
     @classmethod
     def for_status(cls, status: quarantine.QuarantineStatus) -> AntiAffinity:
         """Returns the level that a request's quarantine status requires."""
-        if status.ends >= quarantine.CULPRIT_MIN_ENDS:
+        if status.ends >= quarantine.CULPRIT_MIN_CRASHES:
             return cls.ALL
         return cls.SUSPECTS if status.is_suspect else cls.NONE
 
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -92,7 +92,8 @@
         self.monitor = reach_monitor.ReachabilityMonitor(site, pool, tasks)
         self.monitor.on_reached = quarantine.record_target_reached
         self.monitor.on_refused = functools.partial(
-            quarantine.record_target_end, evidence="the connection was refused"
+            quarantine.record_target_crash,
+            evidence="the connection was refused",
         )
         self.chooser = chooser_lib.Chooser(site, pool, limits)
         self.context = sender_lib.JobContext(
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -117,7 +117,7 @@
             )
             self.is_suspect = quarantine_status.is_suspect
             self.is_suspect_trial = (
-                quarantine_status.ends >= quarantine.HOLD_MIN_ENDS
+                quarantine_status.ends >= quarantine.HOLD_MIN_CRASHES
             )
             planned = self.context.chooser.plan(
                 request,
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -216,7 +216,7 @@
         if refusal.meaning.incarnation not in ("", name):
             # Another target has the address, so this one is gone.
             state.record_unreachable(now)
-            self.quarantine.record_target_end(name, "another has its address")
+            self.quarantine.record_target_crash(name, "another has its address")
             return
         if plan.weights_version is None:
             return
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -111,7 +111,7 @@
         """
         now = clock.now()
         status = self.site.quarantine.status_of(request.digest, now)
-        if status.ends < quarantine.HOLD_MIN_ENDS or (is_trial and not runs):
+        if status.ends < quarantine.HOLD_MIN_CRASHES or (is_trial and not runs):
             return status
         if not runs and not status.held_s:
             self._start_trial(request.digest, now)
@@ -169,7 +169,7 @@
         if incarnation is not None:
             self.site.quarantine.mark_reachable(incarnation)
 
-    def record_target_end(self, target: str, evidence: str) -> None:
+    def record_target_crash(self, target: str, evidence: str) -> None:
         """Records that a target is gone or has restarted.
 
         Args:
@@ -180,7 +180,7 @@
         if incarnation is None:
             return
         now = clock.now()
-        digests = self.site.quarantine.confirm_end(incarnation, now)
+        digests = self.site.quarantine.confirm_crash(incarnation, now)
         if not digests:
             return
         statuses = {
@@ -206,7 +206,7 @@
             ]
         )
         for digest, status in statuses.items():
-            if status.ends >= quarantine.CULPRIT_MIN_ENDS:
+            if status.ends >= quarantine.CULPRIT_MIN_CRASHES:
                 self._publish_hold(digest, status)
 
     # Peers and the store.
@@ -221,7 +221,7 @@
             case work_notice.SuspectEvent.TRIAL_STARTED:
                 records.begin_trial(notice.digest, now)
             case work_notice.SuspectEvent.TARGET_CRASHED:
-                records.record_end(notice.digest, notice.engine, now)
+                records.record_crash(notice.digest, notice.engine, now)
 
     def apply_record(self, record: topic_copy.TopicRecord) -> None:
         """Applies the record of a request in the store.
@@ -240,7 +240,7 @@
         # The system clock may have been set back since.
         ago_s = max(0.0, time.time() - entry.last_at)
         for incarnation in entry.ended:
-            self.site.quarantine.record_end(digest, incarnation, now, ago_s)
+            self.site.quarantine.record_crash(digest, incarnation, now, ago_s)
 
     def restore_record(self, key: str, is_lost: Callable[[str], bool]) -> None:
         """Rewrites a record that a restored store has lost.
@@ -268,7 +268,7 @@
         )
         await anyio.sleep(random.uniform(rank, rank + 1.0) * spread_s)
         digest = key.removeprefix(host_registry.QUARANTINE_PREFIX)
-        ended = self.site.quarantine.ended_incarnations(digest)
+        ended = self.site.quarantine.crashed_incarnations(digest)
         if not ended or not is_lost(key):
             return
         entry = _StoredSuspect(sorted(ended), time.time())
@@ -317,7 +317,7 @@
                 "held_s": round(status.held_s, 3),
             },
         )
-        ended = self.site.quarantine.ended_incarnations(digest)
+        ended = self.site.quarantine.crashed_incarnations(digest)
         entry = _StoredSuspect(sorted(ended), time.time())
         self._stored_digests.add(digest)
         self.tasks.start_soon(
--- a/hillthread/state/targets/quarantine.py
+++ b/hillthread/state/targets/quarantine.py
@@ -26,8 +26,8 @@
 from typing import NamedTuple
 
 __all__ = [
-    "CULPRIT_MIN_ENDS",
-    "HOLD_MIN_ENDS",
+    "CULPRIT_MIN_CRASHES",
+    "HOLD_MIN_CRASHES",
     "Quarantine",
     "QuarantineStatus",
     "Suspect",
@@ -43,10 +43,10 @@
 _MAX_HOLD_S = 1_800.0
 # From this number of crashes on a request is held and is not sent again within
 # the same try.
-HOLD_MIN_ENDS = min(_HOLDS_S)
+HOLD_MIN_CRASHES = min(_HOLDS_S)
 # From this number of crashes on a request counts as the cause of a crash at
 # which other requests were open too.
-CULPRIT_MIN_ENDS = 3
+CULPRIT_MIN_CRASHES = 3
 # Suspects with one or two crashes are forgotten after a minute, others after an
 # hour.
 _FEW_CRASHES_KEPT_S = 60.0
@@ -161,7 +161,7 @@
             return QuarantineStatus(self._count_unconfirmed(digest))
         confirmed = self._count_crashes(digest)
         ends = confirmed + self._count_unconfirmed(digest)
-        if confirmed < HOLD_MIN_ENDS:
+        if confirmed < HOLD_MIN_CRASHES:
             return QuarantineStatus(ends)
         hold_s = _HOLDS_S.get(confirmed, _MAX_HOLD_S)
         held_until = max(record.last_crash_at + hold_s, record.trial_until)
@@ -201,7 +201,7 @@
         if disconnects is not None:
             disconnects.is_reachable = True
 
-    def confirm_end(self, incarnation: int, now: float) -> list[str]:
+    def confirm_crash(self, incarnation: int, now: float) -> list[str]:
         """Records that a target has crashed.
 
         Returns:
@@ -214,10 +214,10 @@
         return [
             digest
             for digest in sorted(disconnects.digests)
-            if self.record_end(digest, incarnation, now)
+            if self.record_crash(digest, incarnation, now)
         ]
 
-    def record_end(
+    def record_crash(
         self, digest: str, incarnation: int, now: float, ago_s: float = 0.0
     ) -> bool:
         """Records that a target crashed while a request was open on it.
@@ -276,7 +276,7 @@
                 del self._open_on[incarnation]
         return True
 
-    def ended_incarnations(self, digest: str) -> frozenset[int]:
+    def crashed_incarnations(self, digest: str) -> frozenset[int]:
         """Returns the incarnations that crashed while a request was open."""
         record = self._records.get(digest)
         return frozenset(record.crashed) if record else frozenset()
@@ -308,7 +308,7 @@
         self, digest: str, incarnation: int, ends: int
     ) -> bool:
         """Returns whether a crash is attributed to another request."""
-        min_crashes = max(CULPRIT_MIN_ENDS, ends + 1)
+        min_crashes = max(CULPRIT_MIN_CRASHES, ends + 1)
         return any(
             len(self._records[other].crashed) >= min_crashes
             for other in self._open_on[incarnation]
@@ -330,7 +330,7 @@
             if now - disconnects.last_at > _DISCONNECT_KEPT_S:
                 del self._disconnects[incarnation]
         for digest, record in list(self._records.items()):
-            is_few = len(record.crashed) < CULPRIT_MIN_ENDS
+            is_few = len(record.crashed) < CULPRIT_MIN_CRASHES
             kept_s = _FEW_CRASHES_KEPT_S if is_few else _CRASHES_KEPT_S
             if now - record.last_crash_at > kept_s:
                 self.clear(digest)
--- a/tests/coordination/gateway/store/test_store_restored.py
+++ b/tests/coordination/gateway/store/test_store_restored.py
@@ -277,7 +277,7 @@
             quarantine = scene.site.quarantine
             now = clock.now()
             for incarnation in range(3):
-                quarantine.record_end("digest", incarnation, now)
+                quarantine.record_crash("digest", incarnation, now)
             quarantine_status = quarantine.status_of("digest", now)
             scene.program.quarantine._publish_hold("digest", quarantine_status)
             key = host_registry.QUARANTINE_PREFIX + "digest"
--- a/tests/state/targets/test_quarantine.py
+++ b/tests/state/targets/test_quarantine.py
@@ -22,7 +22,7 @@
     state = quarantine.Quarantine()
     for number, digests in enumerate(crashed):
         for digest in digests:
-            state.record_end(digest, number, at + number)
+            state.record_crash(digest, number, at + number)
     return state
 
 
@@ -39,7 +39,7 @@
 
     def test_repeated_report_of_a_crash_counts_once(self):
         state = make_quarantine([CULPRIT])
-        state.record_end(CULPRIT, 0, START_S + 0.4)
+        state.record_crash(CULPRIT, 0, START_S + 0.4)
         self.assertEqual(state.status_of(CULPRIT, START_S + 1.0).ends, 1)
 
     def test_hold_grows_with_each_crash(self):
@@ -69,7 +69,7 @@
         self.assertFalse(state.has_running_trial(CULPRIT, START_S + 10.0))
         state.begin_trial(CULPRIT, START_S + 10.0)
         self.assertTrue(state.has_running_trial(CULPRIT, START_S + 10.1))
-        state.record_end(CULPRIT, 2, START_S + 10.2)
+        state.record_crash(CULPRIT, 2, START_S + 10.2)
         self.assertFalse(state.has_running_trial(CULPRIT, START_S + 10.3))
         self.assertFalse(state.has_running_trial(OTHER, START_S + 10.3))
 
@@ -85,13 +85,13 @@
     def test_hold_counts_from_the_time_of_the_crash(self):
         state = quarantine.Quarantine()
         for number in range(4):
-            state.record_end(CULPRIT, number, START_S, ago_s=20.0)
+            state.record_crash(CULPRIT, number, START_S, ago_s=20.0)
         self.assertAlmostEqual(state.status_of(CULPRIT, START_S).held_s, 10.0)
 
     def test_number_of_suspects_is_limited(self):
         state = make_quarantine([CULPRIT], [CULPRIT])
         for number in range(2_000):
-            state.record_end(f"one-{number}", 100 + number, START_S + 2.0)
+            state.record_crash(f"one-{number}", 100 + number, START_S + 2.0)
         suspects = state.suspects(START_S + 3.0)
         self.assertLessEqual(len(suspects), 1_024)
         self.assertEqual(suspects[0].digest, CULPRIT)
@@ -124,10 +124,10 @@
     def test_success_clears_a_suspect_and_late_reports_are_ignored(self):
         state = make_quarantine([BYSTANDER], [BYSTANDER])
         self.assertTrue(state.record_success(BYSTANDER, START_S + 2.0))
-        self.assertFalse(state.record_end(BYSTANDER, 5, START_S + 3.0))
+        self.assertFalse(state.record_crash(BYSTANDER, 5, START_S + 3.0))
         self.assertEqual(state.status_of(BYSTANDER, START_S + 3.0).ends, 0)
         self.assertFalse(state.record_success(BYSTANDER, START_S + 3.0))
-        self.assertTrue(state.record_end(BYSTANDER, 6, START_S + 14.0))
+        self.assertTrue(state.record_crash(BYSTANDER, 6, START_S + 14.0))
 
     def test_cleared_request_no_longer_explains_crashes(self):
         state = make_quarantine(
@@ -150,23 +150,23 @@
         for digest in (CULPRIT, BYSTANDER):
             state.record_disconnect(digest, 1, START_S)
         state.record_disconnect(OTHER, 2, START_S)
-        self.assertEqual(state.confirm_end(1, START_S), [BYSTANDER, CULPRIT])
-        self.assertEqual(state.confirm_end(1, START_S), [])
+        self.assertEqual(state.confirm_crash(1, START_S), [BYSTANDER, CULPRIT])
+        self.assertEqual(state.confirm_crash(1, START_S), [])
         self.assertEqual(state.status_of(CULPRIT, START_S).ends, 1)
 
     def test_crash_can_be_confirmed_after_the_target_was_reached(self):
         state = quarantine.Quarantine()
         state.record_disconnect(CULPRIT, 1, START_S)
         state.mark_reachable(1)
-        self.assertEqual(state.confirm_end(1, START_S + 2.0), [CULPRIT])
+        self.assertEqual(state.confirm_crash(1, START_S + 2.0), [CULPRIT])
 
     def test_old_disconnect_is_not_attributed_to_a_crash(self):
         state = quarantine.Quarantine()
         state.record_disconnect(CULPRIT, 1, START_S)
-        self.assertEqual(state.confirm_end(1, START_S + 6.0), [])
+        self.assertEqual(state.confirm_crash(1, START_S + 6.0), [])
 
     def test_request_that_succeeded_meanwhile_is_not_returned(self):
         state = quarantine.Quarantine()
         state.record_disconnect(BYSTANDER, 1, START_S)
         state.record_success(BYSTANDER, START_S + 0.1)
-        self.assertEqual(state.confirm_end(1, START_S + 0.2), [])
+        self.assertEqual(state.confirm_crash(1, START_S + 0.2), [])
