--- a/hillthread/standin/platform_target.py
+++ b/hillthread/standin/platform_target.py
@@ -700,7 +700,7 @@
         if reset:
             await anyio.sleep(0.02)
             raise http1_server.BrokenAnswerError
-        stream.end()
+        stream.send_eof()
         await anyio.sleep(0.05)
         raise http1_server.BrokenAnswerError
 
