--- a/hillthread/coordination/dialer.py
+++ b/hillthread/coordination/dialer.py
@@ -38,7 +38,14 @@
     hosts: Iterable[str],
     count: int = _INTERLINK_HOST_COUNT,
 ) -> list[str]:
-    """Returns those of `hosts`, of `own`, that link to data centre `other`."""
+    """Returns the hosts that have the links between two data centres.
+
+    Args:
+        own: One of the data centres; the order of the two does not matter.
+        other: The other data centre.
+        hosts: Candidates: hosts of either data centre.
+        count: Maximum number of hosts returned.
+    """
     key = "|".join(sorted((own, other))).encode()
     return placement.rank_by_rendezvous(key, hosts)[:count]
 
--- a/hillthread/coordination/gateway/host.py
+++ b/hillthread/coordination/gateway/host.py
@@ -41,10 +41,11 @@
 # The balancer checks readiness once a second and removes a host after two
 # failed checks. Then idle connections are closed, before callers reuse them.
 _BALANCER_NOTICE_S = 2.6
-# When most hosts of a data centre are not ready, the balancer uses them all the
+# Longest time from the request to stop until new requests are refused. When
+# most hosts of a data centre are not ready, the balancer uses them all the
 # same. Requests that arrive later than this could not be finished before the
-# kill and are refused. The platform's documentation excuses cut streams whose
-# requests arrived within 3 s.
+# kill. The platform's documentation excuses cut streams whose requests arrived
+# within 3 s.
 _CLOSING_S = 2.9
 _CLOSING_GRACE_SHARE = 0.5
 # Requests that still run this long before the process is killed are cancelled.
@@ -66,17 +67,19 @@
 _TARGETS_WAIT_S = 20.0
 # The same for reads from another host, of data that may be this old.
 _PEER_WAIT_S = 4.0
-# Delay of the next read, so that changes that follow each other are read
-# together. For targets it is a share of `drain_ms`, the time for which work may
-# still reach a target that leaves: at 0.3 hosts learn too late of engines that
-# come back. A host that reads only for itself waits less, since early knowledge
-# is worth more to it than the calls that it saves.
-_OPERATOR_GATHER_S = 0.2
-_TARGETS_GATHER_SHARE = 0.1
-_LONE_GATHER_S = 0.1
+# Batch delay: the delay of the next read after one that returned changes, so
+# that changes that follow each other are read together. For targets it is a
+# share of `drain_ms`, the time for which work may still reach a target that
+# leaves: at 0.3 hosts learn too late of engines that come back. A host that
+# reads only for itself waits less, since early knowledge is worth more to it
+# than the calls that it saves.
+_OPERATOR_BATCH_DELAY_S = 0.2
+_TARGETS_BATCH_DELAY_SHARE = 0.1
+_LONE_BATCH_DELAY_S = 0.1
 _HOSTS_WAIT_S = 30.0
-# Hosts that start together register in the store within this time.
-_HOSTS_GATHER_S = 2.0
+# Batch delay of the list of hosts. Hosts that start together register in the
+# store within this time.
+_HOSTS_BATCH_DELAY_S = 2.0
 # Reads of the operator's topic also confirm that no key was withdrawn. They end
 # before the knowledge of keys reaches this share of its maximum age.
 _CONFIRMATION_AGE_SHARE = 0.7
@@ -278,8 +281,8 @@
                 self._compute_operator_hold_s,
                 lambda: self._compute_feed_holds().reader_s,
                 lambda: self._compute_feed_holds().peer_s,
-                lambda: _OPERATOR_GATHER_S,
-                _LONE_GATHER_S,
+                lambda: _OPERATOR_BATCH_DELAY_S,
+                _LONE_BATCH_DELAY_S,
                 self._apply_operator_record,
                 is_older=configuration.is_older,
                 keeps_missing=True,
@@ -291,8 +294,8 @@
                 lambda: _TARGETS_WAIT_S,
                 lambda: _TARGETS_WAIT_S,
                 lambda: _PEER_WAIT_S,
-                self._compute_targets_gather_s,
-                _LONE_GATHER_S,
+                self._compute_targets_batch_delay_s,
+                _LONE_BATCH_DELAY_S,
                 self._apply_target_record,
                 self.site.mark_targets_known,
                 is_older=targets.is_older,
@@ -302,8 +305,8 @@
                 lambda: _HOSTS_WAIT_S,
                 lambda: _HOSTS_WAIT_S,
                 lambda: _PEER_WAIT_S,
-                lambda: _HOSTS_GATHER_S,
-                _HOSTS_GATHER_S,
+                lambda: _HOSTS_BATCH_DELAY_S,
+                _HOSTS_BATCH_DELAY_S,
                 self._apply_host_record,
                 self.hosts_read.set,
                 keeps_missing=True,
@@ -338,9 +341,9 @@
         )
         return min(max_hold_s, max(0.0, remaining_s))
 
-    def _compute_targets_gather_s(self) -> float:
+    def _compute_targets_batch_delay_s(self) -> float:
         """Returns the delay in which further changes of targets are awaited."""
-        return self.site.settings.drain_ms / 1000.0 * _TARGETS_GATHER_SHARE
+        return self.site.settings.drain_ms / 1000.0 * _TARGETS_BATCH_DELAY_SHARE
 
     def _compute_feed_holds(self) -> held_read.FeedHoldTimes:
         return held_read.compute_feed_holds(
--- a/hillthread/coordination/gateway/metrics.py
+++ b/hillthread/coordination/gateway/metrics.py
@@ -51,7 +51,7 @@
         )
         self.resumes = self.counter("resumes", "Streams resumed.", [])
         self.mismatches = self.counter(
-            "mismatches", "Answers of targets that failed a check.", ["check"]
+            "mismatches", "Attempts lost or broken, by reason.", ["check"]
         )
         self.unknown_headers = self.counter(
             "unknown_headers",
@@ -65,7 +65,9 @@
             "bad_records", "Records that could not be read.", ["kind"]
         )
         self.store_calls = self.counter(
-            "store_calls", "Calls to the store.", ["call", "outcome"]
+            "store_calls",
+            "Reads from the store or from other hosts, by topic and outcome.",
+            ["call", "outcome"],
         )
         self.orders = self.counter("orders", "Orders given.", ["outcome"])
         self.loads = self.counter(
@@ -92,7 +94,7 @@
         self.store_era = self.gauge(
             "store_era", "Era of the store, once it has been restored."
         )
-        self.targets = self.gauge("targets", "Targets that may get work.")
+        self.targets = self.gauge("targets", "Known targets.")
         self.leaving = self.gauge(
             "targets_leaving", "Listed targets that announced a departure."
         )
--- a/hillthread/coordination/gateway/orders/order_duty.py
+++ b/hillthread/coordination/gateway/orders/order_duty.py
@@ -13,7 +13,8 @@
 __all__ = ["OrderLeadership"]
 
 _ROLE = "orders"
-# Hosts that rank below this number do not read the lease after a rollout.
+# Hosts of a rank below this number read the lease after the start and after
+# each rollout; the others do not.
 _READING_HOSTS = 8
 # Delay from the start, or the end of a rollout, until the lease is read.
 _READ_DELAY_S = 1.0
--- a/hillthread/coordination/gateway/orders/order_lease.py
+++ b/hillthread/coordination/gateway/orders/order_lease.py
@@ -83,7 +83,7 @@
 
     @property
     def has_holder(self) -> bool:
-        """Whether any host is known to have held the lease."""
+        """Whether a host holds or may hold the lease, by the records read."""
         return self.contender.state.holder != lease.NO_HOLDER
 
     def may_act(self) -> bool:
--- a/hillthread/coordination/gateway/serving/attempt.py
+++ b/hillthread/coordination/gateway/serving/attempt.py
@@ -138,7 +138,9 @@
                 await self.pool.release(connection, self.max_idle)
 
     def give_up(self, reason: str) -> bool:
-        """Ends the attempt as lost if it can be retried; returns whether.
+        """Ends the attempt as lost if it can be retried.
+
+        Returns whether it was ended.
 
         Without a retry the attempt continues, since the answer may still come.
         Only the connection to the target is closed: a write to the caller in
@@ -198,9 +200,9 @@
         """Returns the head of the answer.
 
         Raises:
-            CallError: None arrived, or not before the target's weights became
-                too old. A request that waits in the target's queue must not
-                start after that.
+            CallError: No head arrived, or none before the target's weights
+                became too old. A request that waits in the target's queue must
+                not start after that.
         """
         start_by = self.plan.start_by
         with anyio.CancelScope(deadline=start_by or float("inf")):
--- a/hillthread/coordination/gateway/serving/chooser.py
+++ b/hillthread/coordination/gateway/serving/chooser.py
@@ -24,16 +24,18 @@
 __all__ = ["AntiAffinity", "Chooser", "PlannedAttempt"]
 
 # The costs below are added to an engine's expected time to the first byte when
-# engines are compared. This one is for outdated weights.
+# engines are compared.
+#
+# Cost of an engine that holds outdated weights.
 _OUTDATED_WEIGHTS_COST_S = 0.3
-# For each token of a further copy of a prefix: the copy takes memory from
-# another prefix, which has to be read again later.
+# Cost of each token of a further copy of a prefix. The copy takes memory from
+# another prefix, which has to be prefilled again later.
 _COPY_COST_S_PER_TOKEN = 1.0 / 50_000.0
-# For an engine in another data centre. It decides where prefixes are short or
-# queues are alike, but is too small for prompts to wait for a local engine.
+# Cost of an engine in another data centre. It decides where prefixes are short
+# or queues are alike, but is too small for prompts to wait for a local engine.
 _OTHER_DATA_CENTRE_COST_S = 0.02
-# For a new connection. Less than the time to read a short prefix, so that it
-# only decides between engines that are alike otherwise.
+# Cost of a new connection. It is less than the time to prefill a short prefix,
+# so that it only decides between engines that are alike otherwise.
 _NEW_CONNECTION_COST_S = 0.004
 _NO_TARGET_RETRY_S = 0.3
 
--- a/hillthread/coordination/gateway/serving/dispatcher.py
+++ b/hillthread/coordination/gateway/serving/dispatcher.py
@@ -37,13 +37,15 @@
 
 
 class _Cancellation(NamedTuple):
-    """The refusal of a request that was cancelled and may have run.
+    """The refusal of a request that was cancelled.
+
+    A request that has not run gets another status and remedy.
 
     Attributes:
         code: The error code.
-        status: The HTTP status.
+        status: The HTTP status if the request may have run.
         message: What happened.
-        remedy: What the caller can do.
+        remedy: What the caller can do if the request may have run.
     """
 
     code: str
--- a/hillthread/coordination/gateway/serving/intake.py
+++ b/hillthread/coordination/gateway/serving/intake.py
@@ -57,7 +57,7 @@
         caller: The request as it was received.
         request_id: The ID that the caller sent.
         route: The route that matched.
-        tenant: The organisation whose key it carries; None on public routes.
+        tenant: The tenant whose key it carries; None on public routes.
         prompt: What its headers say about the prompt.
         deadline: Clock time, in seconds, until which the caller waits.
         last_event_id: ID of the last event that the caller received, or None.
--- a/hillthread/coordination/gateway/serving/job.py
+++ b/hillthread/coordination/gateway/serving/job.py
@@ -131,7 +131,7 @@
         except errors.RefusalError as refusal:
             if self.last_answer is not None:
                 return None
-            raise self._true_refusal(refusal) from refusal
+            raise self._refusal_with_run_state(refusal) from refusal
 
     def _check_first_byte_aim(
         self, planned: chooser_lib.PlannedAttempt
@@ -180,14 +180,16 @@
                 return False
             case outcome_lib.Unsent(reason):
                 self.tried_targets.add(name)
-                return self._retry_or_refuse(planned, reason)
+                return self._retry_unrun_request(planned, reason)
             case outcome_lib.NotRun(status):
                 self._note_refusal(name, result)
-                return self._retry_or_refuse(planned, f"refused with {status}")
+                return self._retry_unrun_request(
+                    planned, f"refused with {status}"
+                )
         self.tried_targets.add(name)
         match result:
             case outcome_lib.Lost(reason):
-                return self._repeat_or_refuse(planned, reason)
+                return self._retry_possibly_run_request(planned, reason)
             case outcome_lib.Broken(reason):
                 self._resume_or_break(planned, reason)
                 return True
@@ -212,7 +214,9 @@
         """Returns whether the request is retried after an error status."""
         if whole.head.status < 500 or not self._may_run_again():
             return False
-        return self._withdraw(planned, f"status {whole.head.status}")
+        return self._take_retry_from_budget(
+            planned, f"status {whole.head.status}"
+        )
 
     def _may_run_again(self) -> bool:
         return (
@@ -233,10 +237,10 @@
             return False
         if self.answer.started and not self._has_resumable_events():
             return False
-        self.retry_reserved = self._withdraw(planned, "given up")
+        self.retry_reserved = self._take_retry_from_budget(planned, "given up")
         return self.retry_reserved
 
-    def _retry_or_refuse(
+    def _retry_unrun_request(
         self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> bool:
         """Returns whether another attempt follows one that has not run.
@@ -248,13 +252,13 @@
         if self.answer.started:
             self._resume_or_break(planned, reason)
             return True
-        if self.attempts_made < _MAX_ATTEMPTS and self._withdraw(
+        if self.attempts_made < _MAX_ATTEMPTS and self._take_retry_from_budget(
             planned, reason
         ):
             return True
         if self.last_answer is not None:
             return False
-        raise self._true_refusal(
+        raise self._refusal_with_run_state(
             errors.RefusalError(
                 "overloaded",
                 503,
@@ -264,7 +268,7 @@
             )
         )
 
-    def _repeat_or_refuse(
+    def _retry_possibly_run_request(
         self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> bool:
         """Returns whether another attempt follows one that may have run.
@@ -272,7 +276,9 @@
         Raises:
             RefusalError: None may, and there is no answer to relay.
         """
-        if self._may_run_again() and self._withdraw(planned, reason):
+        if self._may_run_again() and self._take_retry_from_budget(
+            planned, reason
+        ):
             return True
         if self.last_answer is not None:
             return False
@@ -320,14 +326,17 @@
             return "its events have no ids"
         if not self._may_run_again():
             return "it may not run on more targets"
-        if not self._withdraw(planned, reason):
+        if not self._take_retry_from_budget(planned, reason):
             return "the retry budget is exhausted"
         return ""
 
-    def _withdraw(
+    def _take_retry_from_budget(
         self, planned: chooser_lib.PlannedAttempt, reason: str
     ) -> bool:
-        """Returns whether the retry budget allows another attempt."""
+        """Takes a reserved retry, or one from the budget.
+
+        Returns whether there was one.
+        """
         if self.retry_reserved:
             self.retry_reserved = False
             return True
@@ -366,7 +375,7 @@
         headers = attempts.filter_relayed_headers(head)
         await self.answer.send_whole(head.status, headers, body)
 
-    def _true_refusal(
+    def _refusal_with_run_state(
         self, refusal: errors.RefusalError
     ) -> errors.RefusalError:
         """Returns a refusal that does not deny that the request may have run.
--- a/hillthread/coordination/gateway/serving/learning.py
+++ b/hillthread/coordination/gateway/serving/learning.py
@@ -29,9 +29,11 @@
 # Time to the first byte of a prompt that is cached whole: one step of an engine
 # and the network's round trip.
 _MIN_FIRST_BYTE_S = 0.02
-# Shorter prompts are prefilled in that time and say little about the rate.
+# Minimum length of prompts from which the prefill rate is learnt. Shorter ones
+# are prefilled in that time and say little about the rate.
 _MIN_PREFILL_TOKENS = 1_000
-# Twice the age of reports, which show a target as it was some hundred ms ago.
+# Delay before a target's report is read: twice the age of reports, which show a
+# target as it was some hundred ms ago.
 _REPORT_DELAY_S = 0.5
 
 _logger = logging.getLogger("hillthread.targets")
--- a/hillthread/coordination/gateway/serving/quarantine_keeper.py
+++ b/hillthread/coordination/gateway/serving/quarantine_keeper.py
@@ -59,7 +59,8 @@
 
     Attributes:
         ended: Keys of the incarnations that crashed.
-        last_at: Unix time of the last crash, in seconds.
+        last_at: Unix time, in seconds, of the last crash, or of the writing
+            when a lost record is written again.
     """
 
     ended: list[int]
@@ -120,7 +121,8 @@
         raise errors.RefusalError(
             "quarantined",
             503,
-            f"{status.ends} targets crashed while this request was open.",
+            f"{status.ends} targets crashed or may have crashed while this "
+            "request was open.",
             "Change it, or retry after the time in Retry-After; operators list "
             "and clear it with `hillthread-ctl quarantine`.",
             retry_after_s=status.held_s,
--- a/hillthread/coordination/gateway/serving/quota_keeper.py
+++ b/hillthread/coordination/gateway/serving/quota_keeper.py
@@ -1,4 +1,4 @@
-"""Enforces the quotas of organisations over all hosts together.
+"""Enforces the quotas of tenants over all hosts together.
 
 Decides whether requests are admitted, counts what is sent to targets, and
 exchanges usage with other hosts over the feed. `state/quotas/quota.py` defines
@@ -26,10 +26,12 @@
 
 # Usage is reported after this time, together with what is added meanwhile.
 _BATCH_S = 0.02
-# Time in which hosts that started together exchange notices and accrue the
-# quota that their callers request.
+# Time after the start of the process in which requests may wait for quota.
+# Hosts that started together exchange notices and accrue the quota that their
+# callers request within it.
 _STARTUP_S = 2.0
-# Prompts have 0.5 s or more until their first byte; the wait takes part of it.
+# Longest wait of a request at startup. Prompts have 0.5 s or more until their
+# first byte; the wait takes part of it.
 _MAX_WAIT_S = 0.3
 _WAIT_CHECK_INTERVAL_S = 0.03
 # Interval of checks for new quotas while no usage is exchanged.
@@ -39,10 +41,10 @@
 
 
 class QuotaStatus(NamedTuple):
-    """The state of an organisation's quota, for operators.
+    """The state of a tenant's quota, for operators.
 
     Attributes:
-        tenant: Name of the organisation.
+        tenant: Name of the tenant.
         rate_per_s: Units a second that all hosts together may send for it.
         burst: Units a window allows beyond that rate.
         unit: What the quota counts.
@@ -92,7 +94,7 @@
         work.apply_usage = self._add_peer_usage
 
     def admit(self, request: intake.GatewayRequest) -> None:
-        """Admits a request if its organisation is within its quota.
+        """Admits a request if its tenant is within its quota.
 
         Raises:
             RefusalError: The quota is exceeded; the request has not run.
@@ -129,9 +131,9 @@
     async def wait_at_startup(self, request: intake.GatewayRequest) -> None:
         """Delays a request that arrives soon after the process has started.
 
-        A process that starts counts all of each quota as used, and accrues
-        only its own share until it receives notices of the other hosts. After
-        a restart of all hosts, callers return at once and would be refused
+        The bucket of each quota is empty when a process starts, and accrues
+        only this host's share until notices of the other hosts arrive. After a
+        restart of all hosts, callers return at once and would be refused
         although they are below their quota; the wait halves the number of
         these refusals.
         """
--- a/hillthread/coordination/gateway/serving/reach_monitor.py
+++ b/hillthread/coordination/gateway/serving/reach_monitor.py
@@ -36,7 +36,8 @@
 _IDLE_TICK_S = 0.3
 # Silence after which a target is probed.
 _PROBE_AFTER_S = 0.4
-# A working path acknowledges within its round trip, and a lost packet after its
+# Time without an acknowledgement after which a target is probed. A working path
+# acknowledges within its round trip, and a lost packet after its
 # retransmission.
 _UNACKNOWLEDGED_S = 0.25
 # A connection younger than this shows that the target can be reached.
@@ -67,7 +68,10 @@
         """Returns whether nothing shows that the request has arrived."""
 
     def give_up(self, reason: str) -> bool:
-        """Ends the attempt as lost if it can be retried; returns whether."""
+        """Ends the attempt as lost if it can be retried.
+
+        Returns whether it was ended.
+        """
 
 
 class ReachabilityMonitor:
@@ -100,7 +104,7 @@
         self._retry_pause_s: dict[str, float] = {}
         self._swept_at = float("-inf")
         self._reached_at = float("-inf")
-        self._unproven: dict[str, objects.Target] = {}
+        self._inconclusive_targets: dict[str, objects.Target] = {}
 
     async def run(self) -> None:
         """Watches until cancelled."""
@@ -210,12 +214,12 @@
             )
 
     def _note_reached(self, target: objects.Target) -> None:
-        """Records that a target was reached; repeats the unproven probes."""
+        """Records that a target was reached; repeats inconclusive probes."""
         now = clock.now()
         self._reached_at = now
-        self._unproven.pop(target.name, None)
-        for unproven in self._unproven.values():
-            self._start_probe(unproven, now)
+        self._inconclusive_targets.pop(target.name, None)
+        for inconclusive in self._inconclusive_targets.values():
+            self._start_probe(inconclusive, now)
 
     def _handle_failure(
         self,
@@ -231,10 +235,10 @@
         self._retry_at[target.name] = now + pause_s * random.uniform(0.8, 1.2)
         self._retry_pause_s[target.name] = min(_MAX_RETRY_S, pause_s * 1.5)
         if error.connect_timed_out and not self._has_reached_another(began_at):
-            self._unproven[target.name] = target
+            self._inconclusive_targets[target.name] = target
             self._sweep(now, _EXTRA_PROBES)
             return
-        self._unproven.pop(target.name, None)
+        self._inconclusive_targets.pop(target.name, None)
         for attempt in list(self.attempts):
             if attempt.target.name == target.name:
                 attempt.give_up("target cannot be reached")
@@ -267,7 +271,7 @@
         self._retry_at.pop(name, None)
         self._retry_pause_s.pop(name, None)
         self._probed_at.pop(name, None)
-        self._unproven.pop(name, None)
+        self._inconclusive_targets.pop(name, None)
 
 
 def _ignore(target: str) -> None:
--- a/hillthread/coordination/gateway/settings_watch.py
+++ b/hillthread/coordination/gateway/settings_watch.py
@@ -15,7 +15,10 @@
 __all__ = ["SettingsWatch"]
 
 _POLL_INTERVAL_S = 2.0
-# Read at the start only: changes need a restart.
+# Settings whose changes are reported as needing a restart, since the program
+# reads them at the start only. The list is not complete: `quota_window_s`,
+# `quota_over`, `quota_slack` and `log_requests_per_s` are also read once, and
+# `retry_ratio` and `retry_window_s` once for each pool.
 _FIXED_SETTINGS = (
     "host",
     "data_centre",
--- a/hillthread/coordination/gateway/store/host_registry.py
+++ b/hillthread/coordination/gateway/store/host_registry.py
@@ -35,8 +35,8 @@
 # with it.
 QUARANTINE_PREFIX = "quarantine/"
 _RETRY_DELAY_S = 2.0
-# Rate at which all hosts together write lost records again: a part of the
-# writes that the store accepts.
+# Maximum writes a second with which all hosts together write lost records
+# again: a part of the writes that the store accepts.
 _MAX_REWRITES_PER_S = 100.0
 _RETRY_JITTER_SHARE = 0.5
 
@@ -59,7 +59,8 @@
 
     Attributes:
         store: Client of the platform's store.
-        site: State of this host, whose `hosts` and `neighbours` are updated.
+        site: State of this host, whose `cluster_size` and
+            `neighbour_count` are updated.
         source: Receives the entries of all hosts.
         feed: `IP:port` at which this host serves other hosts.
         hosts_read: Set when the list of hosts has been read once.
--- a/hillthread/coordination/gateway/store/store_follower.py
+++ b/hillthread/coordination/gateway/store/store_follower.py
@@ -311,7 +311,10 @@
         )
 
     def _record_answer(self) -> None:
-        """Reports reads sent before a lost read, which may be lost as well."""
+        """Reports the time of a lost read once a later read is answered.
+
+        Other reads over connections from before that time may be lost as well.
+        """
         if self._lost_at is None:
             return
         lost_at, self._lost_at = self._lost_at, None
@@ -345,8 +348,8 @@
     def _get_hold_s(self, failures: int) -> float:
         """Returns how long the store is to hold the next read, in seconds.
 
-        After a failure or a lost read, also one of another follower, the store
-        is to answer at once.
+        The store is to answer at once after a failure or a lost read of this
+        follower, and while it counts as lost because of any follower.
         """
         is_lost = self.context.watch.lost_at is not None
         if failures or is_lost or self._lost_at is not None:
--- a/hillthread/coordination/gateway/target_beliefs.py
+++ b/hillthread/coordination/gateway/target_beliefs.py
@@ -48,11 +48,12 @@
         metrics: The gateway's metrics.
         table: The routing table in force, or None before the first.
         targets: The listed targets.
-        states: What this host's own attempts found, by target.
+        states: What this host's own attempts found and other hosts' notices
+            reported, by target.
         backoffs: Targets that shed load and request a pause.
         weights: Versions of weights: announced, and held by targets.
-        last_load_notice_at: Seconds, when another host last sent a notice of a
-            load of weights.
+        last_load_notice_at: Seconds, when this host or another last sent a
+            notice of a load of weights.
         on_target_withdrawn: Called with the address of each target that gets
             no more new work.
         on_target_forgotten: Called with the name of each target whose state is
@@ -266,7 +267,7 @@
         }
 
     def state(self, target: str) -> target_state.TargetState:
-        """Returns what this host's own attempts found of a target."""
+        """Returns what is known of a target by attempts and notices."""
         found = self.states.get(target)
         if found is None:
             found = self.states[target] = target_state.TargetState()
--- a/hillthread/coordination/metric_set.py
+++ b/hillthread/coordination/metric_set.py
@@ -19,8 +19,9 @@
 class BoundedLabels:
     """Bounds the number of time series with distinct label values.
 
-    Label values beyond the first 256 of an hour share `OTHER`, so that 2,200
-    organisations do not fill a host's memory.
+    At most 256 new label values an hour get their own series; the others share
+    `OTHER`, so that 2,200 organisations do not fill a host's memory. A label
+    value counts for an hour after it was admitted, but its series stays.
     """
 
     def __init__(self):
--- a/hillthread/coordination/record_archive.py
+++ b/hillthread/coordination/record_archive.py
@@ -63,7 +63,7 @@
         self._batch_size = _MAX_BATCH_RECORDS
         self.outcomes = prometheus_client.Counter(
             "hillthread_archived_records",
-            "Decision records by what became of them.",
+            "Decision records by outcome.",
             ["outcome"],
             registry=registry,
         )
@@ -106,8 +106,8 @@
     async def _flush_batch(self) -> bool:
         """Appends one batch; returns whether it succeeded.
 
-        A batch whose reply was lost is appended again. A search returns a
-        record that is on the log twice only once.
+        A batch whose reply was lost is appended again, so a record may be on
+        the log twice; a search returns it only once.
         """
         batch = [
             self.waiting.popleft()
--- a/tests/coordination/gateway/scene.py
+++ b/tests/coordination/gateway/scene.py
@@ -22,7 +22,7 @@
 HOST = b"callers.example"
 _WAIT_TIMEOUT_S = 5.0
 # Hosts of a scene that start together register in the store within this time.
-_HOSTS_GATHER_S = 0.05
+_HOSTS_BATCH_DELAY_S = 0.05
 
 
 def route(name, prefix, kind, service, **extra):
@@ -282,7 +282,9 @@
     """Runs a scenario, an async function that takes a scene."""
 
     async def run():
-        with mock.patch.object(host_lib, "_HOSTS_GATHER_S", _HOSTS_GATHER_S):
+        with mock.patch.object(
+            host_lib, "_HOSTS_BATCH_DELAY_S", _HOSTS_BATCH_DELAY_S
+        ):
             await run_in_scene()
 
     async def run_in_scene():
--- a/tests/coordination/gateway/test_bounds_range.py
+++ b/tests/coordination/gateway/test_bounds_range.py
@@ -65,7 +65,9 @@
                 host_state.targets.put(test_target_list.make_entry("a"))
                 host_state.targets.store_lost()
                 host_state.targets.remove("a", 0.0)
-                gather_s = host_lib._TARGETS_GATHER_SHARE * drain_ms / 1000.0
+                gather_s = (
+                    host_lib._TARGETS_BATCH_DELAY_SHARE * drain_ms / 1000.0
+                )
                 gone_by = drain_ms / 1000.0 - gather_s - _DELAY_S * 0.5
                 self.assertEqual(host_state.targets.expire(gone_by), ["a"])
 
