--- a/hillthread/state/cluster/claim_index.py
+++ b/hillthread/state/cluster/claim_index.py
@@ -3,9 +3,10 @@
 Each reader measures the age of a claim by its own monotonic clock, from the
 moment it read the claim. The clocks of the appending hosts may be wrong by any
 amount, and a claim that expires too early lets its request run twice. Readers
-expire a claim at different times. If a reader still holds a claim when another
-one has already granted the key anew, it extends the claim by a full window, so
-that no reader grants the key a second time.
+expire a claim at different times, so one reader may grant a key anew while
+another still holds the earlier claim. When that other reader reads the new
+claim, it extends the earlier one by a full window. No reader then grants the
+key a second time.
 """
 
 from __future__ import annotations
--- a/hillthread/state/cluster/held_read.py
+++ b/hillthread/state/cluster/held_read.py
@@ -39,8 +39,8 @@
 # this time that it hangs; each of their reads costs a call within the data
 # centre.
 _MAX_PEER_HOLD_S = 1.0
-# Share of the age up to which a host is ready that the reading host may use for
-# its holds; the rest is for the store's hold.
+# Hold of the reading host as a share of the age up to which a host is ready.
+# The rest of that age is for the store's hold and for processing.
 _PEER_HOLD_SHARE = 0.35
 
 
--- a/hillthread/state/cluster/lease.py
+++ b/hillthread/state/cluster/lease.py
@@ -306,7 +306,8 @@
     def restart_at(self, first: int) -> None:
         """Resets the state, because the log no longer has the next records.
 
-        A host that holds the lease by those records may act until it expires.
+        This host stops acting at once. Another host that acquired the lease by
+        a lost record may act until that lease expires.
         """
         self.state.restart_at(first)
         self._may_act_until = float("-inf")
--- a/hillthread/state/config/objects.py
+++ b/hillthread/state/config/objects.py
@@ -174,8 +174,9 @@
         tenant_selector: Selects the tenants that the route applies to.
         pool_selector: Selects the pools, whose targets are all candidates.
         order: Routes are tried in this order, then by name.
-        repeatable: Whether a request may run more than once; if unset,
-            completions may and calls of plain services may not.
+        repeatable: Whether a request may run more than once. If unset, in
+            the router completions may and calls of plain services may not,
+            except with safe methods; in the gateway no request may.
         timeout_s: Deadline of a whole request.
         host: The `Host` header that the route applies to; empty for any.
         pool_shares: Splits the requests among pools; `pool_selector` is then
@@ -234,7 +235,8 @@
         rate_per_s: Units per second.
         burst: Units that may be used at once beyond the rate.
         unit: Unit that is counted.
-        plain_tokens: Tokens charged for a request of unknown token count.
+        plain_tokens: Tokens charged for a request whose token count is unknown,
+            if the unit is tokens.
     """
 
     rate_per_s: Annotated[float, msgspec.Meta(gt=0, le=_MAX_UNITS)]
--- a/hillthread/state/quotas/admission.py
+++ b/hillthread/state/quotas/admission.py
@@ -97,6 +97,8 @@
         """Removes a ticket whose request is sent, and updates the rate."""
         self._waiting.remove(ticket)
         if self.last_served_at is not None:
+            # The minimum gap, in seconds, avoids a division by zero; 0.1 is the
+            # weight of the newest gap in the moving average.
             gap = max(1e-4, now - self.last_served_at)
             self.served_per_s += 0.1 * (1.0 / gap - self.served_per_s)
         self.last_served_at = now
--- a/hillthread/state/quotas/limits.py
+++ b/hillthread/state/quotas/limits.py
@@ -78,6 +78,7 @@
         """Returns None if a request is allowed, else the seconds to wait."""
         limit = self.limits.concurrency
         if limit and self.running >= max(1, int(limit * self.share)):
+            # A fixed wait of 1 s: it is unknown when a running request ends.
             return 1.0
         wait = 0.0
         if self.requests is not None:
--- a/hillthread/state/quotas/quota.py
+++ b/hillthread/state/quotas/quota.py
@@ -1,8 +1,9 @@
-"""Enforces the quota of an organisation, which all hosts share.
+"""Enforces the quota of a tenant, which all hosts share.
 
-In any window of a few seconds an organisation may use the window's length times
-its rate, plus its burst. Every host enforces this with two mechanisms, which
-count its own usage at once and that of other hosts as soon as it is known:
+In any window of a few seconds a tenant may use the window's length times its
+rate, plus its burst. Tenants of one organisation have separate quotas. Every
+host enforces this with two mechanisms, which count its own usage at once and
+that of other hosts as soon as it is known:
 
 - A token bucket whose refill during one window equals the window's limit. It
   spreads excess demand over the window, instead of admitting a burst and then
@@ -14,7 +15,7 @@
 third of which had restarted, sent 6.9 million tokens where 6.1 million were
 allowed. A token bucket with the quota's own rate and burst is not enough
 either: in all windows but the first it allows an eighth less, and refuses
-callers whose organisation is below its quota.
+requests of tenants that are below their quota.
 
 A host that reaches only some of the hosts scales refill and capacity of its
 bucket to their share, so the two sides of a network partition together never
@@ -59,7 +60,7 @@
 
 
 def request_cost(quota: objects.Quota, tokens: int | None) -> float:
-    """Returns the units that a request uses of its organisation's quota.
+    """Returns the units that a request uses of its tenant's quota.
 
     Args:
         quota: The quota.
--- a/hillthread/state/quotas/quota_ledger.py
+++ b/hillthread/state/quotas/quota_ledger.py
@@ -2,7 +2,7 @@
 
 Connects `quota.py`, which enforces one quota, with `usage_exchange.py`, through
 which hosts report usage to each other. Target limits are counted in the same
-way next to the quotas of organisations; see `target_limits.py`.
+way next to the quotas of tenants; see `target_limits.py`.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 
 __all__ = ["QuotaCheck", "QuotaLedger"]
 
-# Usage of all hosts that may remain unreported while an organisation is far
-# from its quota, as a share of the bucket's capacity.
+# Usage of all hosts that may remain unreported while a tenant is far from its
+# quota, as a share of the bucket's capacity.
 _UNREPORTED_SHARE = 0.5
-# Added to the urgency when a quota is low, where even little usage changes what
-# other hosts may send: all is due, beginning with the quotas used fastest.
+# Added to the urgency of a report when little of the quota remains. Even little
+# usage then changes what other hosts may send, so all such reports are due. The
+# quotas that are used fastest are reported first.
 _LOW_QUOTA_URGENCY = 1_000.0
 
 
 class QuotaCheck(NamedTuple):
-    """State of an organisation's quota when it sends a request.
+    """State of a tenant's quota when it sends a request.
 
     Attributes:
         window: Current usage; None without a quota.
@@ -39,11 +40,11 @@
 
 
 class QuotaLedger:
-    """The quotas of all organisations, on one host.
+    """The quotas of all tenants, on one host.
 
     Attributes:
         exchange: Exchanges usage with other hosts.
-        windows: Usage by organisation.
+        windows: Usage by the tenant's name.
         windows_by_key: All usage that is counted over all hosts, by key: these
             quotas, and the limits that `TargetLimits` adds.
         bounds: Window and tolerance of the quotas.
@@ -93,7 +94,7 @@
     def check_request(
         self, name: str, tokens: int | None, now: float
     ) -> QuotaCheck:
-        """Returns the state of the quota for a request of an organisation."""
+        """Returns the state of the quota for a request of a tenant."""
         window = self.windows.get(name)
         if window is None:
             return QuotaCheck(None)
@@ -102,7 +103,7 @@
         return QuotaCheck(window, amount, window.remaining())
 
     def charge(self, name: str, amount: float, now: float) -> bool:
-        """Counts usage of an organisation; a negative amount is a refund.
+        """Counts usage of a tenant; a negative amount is a refund.
 
         Returns:
             Whether a report to other hosts is due.
--- a/hillthread/state/quotas/shares.py
+++ b/hillthread/state/quotas/shares.py
@@ -28,7 +28,8 @@
     Attributes:
         own_demand: Requests per second at this router by tenant, whether
             admitted or not.
-        router_count: Live routers of the data centre, including this one.
+        router_count: Routers of the data centre among which the limits are
+            divided, including this one.
     """
 
     def __init__(self):
--- a/hillthread/state/quotas/target_limits.py
+++ b/hillthread/state/quotas/target_limits.py
@@ -4,7 +4,7 @@
 all hosts. Each host counts its requests like those of a quota
 (`quota_ledger.py`) and sends none beyond the limit.
 
-Three things differ from the quota of an organisation:
+Three things differ from the quota of a tenant:
 
 - Requests of the window before the announcement count, so hosts keep recent
   sends of all targets and report them when a limit is announced.
@@ -245,9 +245,15 @@
         return self.ledger.charge_key(limited.key, -1.0, now)
 
     def retry_after_s(self, targets: list[str], now: float) -> float:
-        """Returns after how long a request that none accepts may return.
+        """Returns in how many seconds a refused request may be sent again.
 
-        A slot that was left to peers has been used by then.
+        To be called if no target accepts the request. The wait lasts at least
+        until all hosts know of a request, so that a slot that was left to peers
+        has been used by then.
+
+        Args:
+            targets: The targets, whose limits are all known.
+            now: Current time, seconds.
         """
         soonest = max(
             (self._limited[target] for target in targets),
--- a/hillthread/state/quotas/usage_exchange.py
+++ b/hillthread/state/quotas/usage_exchange.py
@@ -1,17 +1,17 @@
 """Exchange of quota usage between hosts.
 
-Each host reports the total it has sent for an organisation to the gatherer of
-its data centre, which is one of its hosts. The gatherer adds up the totals and
-reports the total of its group, the hosts of its data centre, to all hosts.
-Totals replace each other: a lost packet only delays a report, and a duplicate
-changes nothing.
+Each host reports the total it has sent for a tenant to the gatherer of its data
+centre, which is one of its hosts. The gatherer adds up the totals and reports
+the total of its group, the hosts of its data centre, to all hosts. Totals
+replace each other: a lost packet only delays a report, and a duplicate changes
+nothing.
 
 From a sender that is new, or has been silent for too long, only the usage since
 its previous report is counted. Earlier usage has been admitted already, in part
 by hosts that were out of contact and used a share of the quota of their own.
 
-While an organisation is far below its quota, its usage is reported only when
-the unreported usage of all hosts could become significant.
+While a tenant is far below its quota, its usage is reported only when the
+unreported usage of all hosts could become significant.
 """
 
 from __future__ import annotations
@@ -46,18 +46,18 @@
 # oldest are dropped first.
 _MAX_QUEUED_NOTICES = 16
 
-# Returns the urgency of a report, given the key of an organisation, its
-# unreported amount and the number of reporters. Below 1 it is not due.
+# Returns the urgency of a report, given the key of a tenant or of a target
+# limit, its unreported amount and the number of reporters. From 1 on it is due.
 Urgency = Callable[[int, float, int], float]
 
 
 @functools.cache
 def name_key(name: str) -> int:
-    """Returns the key of an organisation or host, a hash of 48 bits.
+    """Returns the key of a tenant or host, a hash of 48 bits.
 
-    Organisations with the same key would share a quota. The probability of a
-    collision among 2,200 organisations is 1 in 100 million; with 32 bits it
-    would be 1 in 1,800.
+    Tenants with the same key would share a quota. The probability of a
+    collision among 2,200 tenants is 1 in 100 million; with 32 bits it would be
+    1 in 1,800.
     """
     return int.from_bytes(
         hashlib.blake2b(name.encode(), digest_size=6).digest()
@@ -65,10 +65,10 @@
 
 
 class UsageTotal(NamedTuple):
-    """Total usage of an organisation at one sender.
+    """Total usage of a tenant or a target limit at one sender.
 
     Attributes:
-        key: Key of the organisation.
+        key: Key of the tenant or the target limit.
         total: Units since the sender's process started, rounded to whole units,
             which take a third less space in a packet.
         recent: The part of the total since the sender's previous report.
@@ -86,7 +86,7 @@
         origin: Key of the host that reports.
         incarnation: Identifies the process of that host.
         host_count: Number of hosts whose usage is included.
-        totals: Totals of organisations with unreported usage.
+        totals: Totals of tenants and target limits with unreported usage.
     """
 
     origin: int
@@ -199,7 +199,7 @@
     Attributes:
         origin: Key of this host.
         incarnation: Identifies the process of this host.
-        urgency: Returns which reports are due.
+        urgency: Returns the urgency of a report; from 1 on it is due.
     """
 
     def __init__(self, origin: int, incarnation: int, urgency: Urgency):
--- a/hillthread/state/routing/decision.py
+++ b/hillthread/state/routing/decision.py
@@ -32,8 +32,8 @@
 # Probability that the second-ranked target holds a prefix, as a share of the
 # first-ranked target's.
 _SECOND_RANK_SHARE = 0.5
-# Cost of each rank. It is below any real difference in cost, so that it only
-# breaks ties.
+# Cost in seconds, multiplied by the rank. It is below any real difference in
+# cost, so that it only breaks ties.
 _RANK_COST_S = 0.002
 # Assumed wait at a target that has twice as many requests as it can run.
 _OVERLOAD_COST_S = 1.0
@@ -113,7 +113,8 @@
         target: Name of the target.
         exclusion: Why it was not eligible, or None; its costs are then 0.
         cost_s: Weighted sum, in seconds.
-        queue_s: Expected wait behind queued prefill, in seconds.
+        queue_s: Expected wait behind queued prefill and because of overload, in
+            seconds.
         prefill_s: Expected time to compute the uncached tokens, in seconds.
         recompute_s: Weighted cost of the recomputation, in seconds.
         warm_tokens: Length of the prefix that is believed cached.
@@ -155,7 +156,8 @@
         scores: Scores of all candidates, the cheapest first and the excluded
             ones last.
         expected_prefill: Tokens the chosen target is expected to compute.
-        queued_tokens: Prefill tokens queued on the chosen target.
+        queued_tokens: Expected wait at the chosen target (`queue_s`, with that
+            of overload) in prefill tokens.
     """
 
     target: str | None
--- a/hillthread/state/routing/target_choice.py
+++ b/hillthread/state/routing/target_choice.py
@@ -145,7 +145,9 @@
     Args:
         key: Breaks ties, so that requests spread over equal targets.
         views: All targets of the pool.
-        data_centre: Data centre of this host; targets there are preferred.
+        data_centre: Data centre of this host. Among targets that run equally
+            many requests, those with an open connection are preferred, then
+            those in this data centre.
     """
     eligible = [view for view in views if view.exclusion is None]
     if not eligible:
--- a/hillthread/state/routing/warmth.py
+++ b/hillthread/state/routing/warmth.py
@@ -28,7 +28,8 @@
 # A prediction counts as correct when this share of its tokens was cached. The
 # rest may lie in an incomplete cache block.
 _HIT_SHARE = 0.9
-# Factor on the probability of a level that no answer has confirmed.
+# Factor on the probability of a level that neither an answer nor a notice of
+# another router has confirmed since updates were missed.
 _UNCONFIRMED_FACTOR = 0.5
 # Probability of a prefix that is being computed; its request may still fail.
 _PENDING_PROBABILITY = 0.95
@@ -80,7 +81,8 @@
         clock: Token clock at its last use; negative until it was computed.
         seen_at: Time of its last use, in seconds.
         pending: Number of unanswered requests that are computing it.
-        confirmed: Whether an answer has confirmed it since the last gap.
+        confirmed: Whether an answer or a notice of another router has confirmed
+            it since updates were last missed.
     """
 
     __slots__ = ("clock", "confirmed", "pending", "seen_at", "tokens")
@@ -163,7 +165,11 @@
         self._drop_oldest()
 
     def add_from_peer(self, level: prompt.PrefixLevel, now: float) -> None:
-        """Adds a level that another router's request has put in the cache."""
+        """Adds a level of a request that another router has placed.
+
+        The other router queues its notice before it sends the request, so the
+        engine may not have cached the level yet. It counts as cached at once.
+        """
         self.confirm((level,), now)
 
     def learn_horizon(self, predicted: WarmPrefix, cached_tokens: int) -> None:
--- a/hillthread/state/targets/health.py
+++ b/hillthread/state/targets/health.py
@@ -57,7 +57,7 @@
         self.is_probing = False
 
     def cancel_probe(self) -> None:
-        """Records that a request ended without showing the target's health."""
+        """Ends a probe whose result was not recorded."""
         self.is_probing = False
 
     def record_failure(self, now: float) -> None:
--- a/hillthread/state/targets/quarantine.py
+++ b/hillthread/state/targets/quarantine.py
@@ -2,8 +2,9 @@
 
 A target counts as crashed when its process has terminated. A request may crash
 every target that starts it. Its caller sends it again, under another id and to
-another host, so hosts notify each other which requests were open on a crashed
-target. All of these requests are suspects.
+another host; each such sending is called a try. Hosts therefore notify each
+other which requests were open on a crashed target. All of these requests are
+suspects.
 
 The culprit differs from the other suspects as follows:
 
@@ -34,11 +35,11 @@
 ]
 
 # How long a request is held, in seconds, by its number of crashes. After two
-# crashes most requests prove harmless; a culprit has crashed a third target by
-# then. A harmless request reaches three crashes if targets crash for other
-# causes and nothing ran beside it; one trial alone on a target soon shows that.
-# Each later trial costs everything that runs on one target and hardly ever
-# changes the result.
+# crashes most requests prove harmless, because a culprit has crashed a third
+# target by then. A harmless request reaches three crashes if targets crash for
+# other causes while nothing runs beside it. One trial alone on a target soon
+# shows that it is harmless. Each later trial costs everything that runs on one
+# target, and hardly ever changes the result.
 _HOLDS_S = {2: 1.0, 3: 1.5, 4: 30.0, 5: 300.0}
 _MAX_HOLD_S = 1_800.0
 # From this number of crashes on a request is held and is not sent again within
@@ -74,7 +75,8 @@
 
     Attributes:
         ends: Targets that crashed under it, except crashes attributed to
-            another request.
+            another request. Includes lost connections of this host that may
+            still turn out to be crashes.
         held_s: Seconds until it may be sent; 0 if it may be sent now.
     """
 
--- a/hillthread/state/targets/rollout.py
+++ b/hillthread/state/targets/rollout.py
@@ -40,7 +40,22 @@
 
 
 class LoadOutcome(enum.StrEnum):
-    """Outcome of the load of one target."""
+    """Outcome of the load of one target.
+
+    Attributes:
+        HELD: The target holds the newest weights.
+        OVERTAKEN: The load ended, but newer weights have been announced.
+        NO_ROOM: Other loads took all slots before the order was sent.
+        NO_LEASE: This host does not hold the lease for orders.
+        NO_REPORT: The report could not be read, or the order not sent.
+        UNANSWERED: No clear answer came, and no report shows the order.
+        NOT_TAKEN: The target refused the order.
+        OTHER_INCARNATION: Another incarnation answered the order.
+        TARGET_GONE: The target is no longer listed.
+        RESTARTED: The target has restarted since it was sent the order.
+        TOO_LONG: The load did not end within the maximum time.
+        FAILED: An error ended the load.
+    """
 
     HELD = "held"
     OVERTAKEN = "overtaken"
--- a/hillthread/state/targets/target_list.py
+++ b/hillthread/state/targets/target_list.py
@@ -170,7 +170,7 @@
         return incarnation_key(name, self.born_ms.get(name, 0))
 
     def withdraw(self, name: str) -> TargetChange:
-        """Drops a target whose entry no longer names one."""
+        """Drops a target whose entry does not describe a target any more."""
         if name not in self.entries:
             return TargetChange.UNCHANGED
         self._drop(name)
--- a/hillthread/state/targets/target_state.py
+++ b/hillthread/state/targets/target_state.py
@@ -1,4 +1,4 @@
-"""Tracks a target's state as shown by this host's own attempts."""
+"""Tracks a target's state by this host's attempts and peers' notices."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class TargetState:
-    """State of one target as observed by this host's attempts.
+    """State of one target as this host knows it.
+
+    It follows from this host's attempts, and from notices of other hosts on the
+    prompts that they send and on loads of weights.
 
     Attributes:
         breaker: Ejects the target after failures.
--- a/hillthread/state/targets/weights.py
+++ b/hillthread/state/targets/weights.py
@@ -7,23 +7,25 @@
 
 __all__ = ["AnnouncedWeights", "WeightsGrace", "WeightsLag", "WeightsTracker"]
 
-# By the platform's documentation starts on older weights cost nothing for 1.5 s
-# after newer weights were announced; the margin covers the request's way to the
-# target.
+# By the platform's documentation, starts on older weights cost nothing for
+# 1.5 s after newer weights were announced. The value is lower, to leave a
+# margin for the request's way to the target.
 _FREE_S = 1.3
-# While the store answers, reads prove the newest version at least this often.
+# While the store answers, this host's reads prove at least this often which
+# version is the newest.
 _MAX_UNPROVEN_S = 3.0
-# Margin for the time from choosing a target to the start there, beyond the
-# expected time.
+# Starts are forbidden this long before the limit, because the time from
+# choosing a target to the start there may exceed the expected time.
 _START_MARGIN_S = 1.0
-# An answer that has not begun this long after starts became forbidden is ended.
-# This lies within the margin above.
+# An attempt whose answer has not begun this long after starts became forbidden
+# is ended. This time lies within the margin above.
 _ANSWER_MARGIN_S = 0.7
-# A host that learned of new weights late was out of reach, and by the
-# platform's documentation it is judged again only 3 s after that. Until then
-# old weights may serve while the newer ones are loaded.
+# A host that learned of new weights late was out of reach. By the platform's
+# documentation it is judged again only 3 s after that. For the time below,
+# which lies within those 3 s, old weights may serve while the newer ones are
+# loaded.
 _LATE_GRACE_S = 1.5
-# The same as a share of the limit, for short limits.
+# The same time as a share of the limit, which is less if the limit is short.
 _LATE_GRACE_SHARE = 0.25
 # Default time after an announcement by which older weights must be out of use.
 _DEFAULT_LIMIT_S = 10.0
@@ -59,10 +61,11 @@
     Attributes:
         held: Version that the target holds; None if unknown.
         newer: First version announced after it, whose age decides.
-        age_s: Seconds since this host learned of that version.
+        age_s: Seconds from when this host learned of that version to the
+            expected start of the request.
         grace: Whether a start there is allowed and what it costs.
-        start_by: Time by which a request sent earlier must have started,
-            seconds.
+        start_by: Time by which the answer to a request sent earlier must have
+            begun, seconds; a margin after starts become forbidden.
     """
 
     held: int | None
@@ -143,7 +146,8 @@
     def update_from_list(self, target: str, model: str, version: int) -> None:
         """Records a version from the platform's list.
 
-        The list lags behind answers, so only a changed entry counts.
+        The list lags behind answers, so an unchanged entry counts only if an
+        assumed version has been rejected since a version was last recorded.
         """
         key = _HeldKey(target, model)
         if self._listed.get(key) == version and key not in self._rejected:
